--- a/applevale/estimators.py
+++ b/applevale/estimators.py
@@ -182,6 +182,11 @@
         return slowdown
 
 
+def finite_or(value: float, default: float) -> float:
+    """Return `value`, or `default` in place of an infinite value or NaN."""
+    return value if isfinite(value) else default
+
+
 def finite_readings(names: Sequence[str], values: Sequence[float]) -> dict[str, float]:
     """Return the values by name, without negative and infinite ones; none if their number does not match."""
     if len(values) != len(names):
--- a/applevale/policy/admission.py
+++ b/applevale/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: flags for requests that may meet memory trouble, their price, and tenants' shares."""
+"""Admission: recognizes requests that may exhaust an engine's memory, and enforces the quotas of tenants."""
 
 from math import inf, log
 
@@ -8,51 +8,73 @@
 from .model import Context, Engine, PendingRequest
 
 
-def flag_price(confidence: float, misses: int) -> float:
-    """Return what a flag costs: more the less sure it is, less after misses on this engine."""
-    price = 1 + config.ENTROPY_PRICE * estimators.binary_entropy(confidence) - config.MISS_DISCOUNT * misses
-    return max(price, config.MIN_FLAG_PRICE)
+def memory_risk_price(probability: float, miss_count: int) -> float:
+    """Return the price of a memory risk: it rises with the uncertainty and falls with recent misses."""
+    price = 1 + estimators.binary_entropy(probability) - config.MISS_DISCOUNT * miss_count
+    return max(price, config.MIN_MEMORY_RISK_PRICE)
 
 
 class Admission:
-    """Flags requests and counts tenants' shares; a flag that its engine's quota pays for waits for memory."""
+    """Recognizes memory risks and enforces the quotas of tenants.
+
+    A memory risk is a request that may exhaust the memory of its engine. It waits for free memory if the
+    engine's quota can pay its price, and is treated like any other request otherwise.
+    """
 
     def __init__(self, context: Context, load: LoadEstimator):
-        self.context, self.load = context, load
-        model = estimators.LogisticModel(config.MODEL_WEIGHTS, config.MODEL_STEP, max_weight=8.0)
-        misses = containers.ExpiringKeys(config.MAX_KEPT)
-        self.predictor = estimators.RememberingClassifier(model, misses, config.MISS_LIFETIME)
+        """Create it with an untrained model and empty quotas."""
+        self._context = context
+        self._load = load
+        model = estimators.LogisticModel(config.MODEL_WEIGHTS, config.LEARNING_RATE, config.MAX_MODEL_WEIGHT)
+        misses = containers.ExpiringKeys(config.MAX_REMEMBERED_MISSES)
+        self.predictor = estimators.RememberingClassifier(model, misses, config.MISS_LIFETIME_SECONDS)
         self._tenant_buckets = [rate_limits.TokenBucket(0.0, -inf) for _ in context.settings.tenants]
 
-    def kind_of(self, pending: PendingRequest) -> tuple[int, float, int]:
-        return (pending.request.cls, pending.request.tables, int(log(max(pending.memory_mb, 1.0), 2)))
+    def similarity_key(self, pending: PendingRequest) -> tuple[int, float, int]:
+        """Return what similar requests share: class, table group and magnitude of the memory."""
+        memory_magnitude = int(log(max(pending.memory_mb, 1.0), config.MEMORY_LOG_BASE))
+        return (pending.request.cls, pending.request.tables, memory_magnitude)
 
-    def flag(self, pending: PendingRequest, engines: list[Engine]) -> None:
-        now, home = self.context.now, next(filter(Engine.is_available, engines), None)
-        is_calm = now - self.context.memory_trouble_at > config.WINDOW
-        if home is None or is_calm or pending.memory_mb < config.SMALL_MEMORY_SHARE * home.memory_mb:
+    def assess_memory_risk(self, pending: PendingRequest, engines: list[Engine]) -> None:
+        """Mark a request that may exhaust the memory of the first available one of `engines`."""
+        now = self._context.now
+        engine = next(filter(Engine.is_available, engines), None)
+        pressure_age = now - self._context.memory_pressure_at
+        if engine is None or pressure_age > config.MEMORY_PRESSURE_WINDOW_SECONDS:
+            return
+        if pending.memory_mb < config.SMALL_MEMORY_SHARE * engine.memory_mb:
             return
-        size, used = pending.memory_mb / home.memory_mb, 1 - self.load.free_memory(home) / home.memory_mb
-        load = self.load.engine_load(home) / config.THREAD_LIMIT
-        pending.features = estimators.unit_features(size * 2, used, load / 2, pending.stats.trouble.value)
-        confidence = self.predictor.predict(now, self.kind_of(pending), pending.features)
-        pending.is_flagged = confidence >= config.FLAG_CONFIDENCE
-        home.flag_quota.refill(now)
-        price = flag_price(confidence, home.flag_quota.missed)
-        pending.is_flag_accepted = pending.is_flagged and home.flag_quota.spend(price)
-
-    def learn(self, pending: PendingRequest, engine: Engine, met_trouble: bool) -> None:
-        now, is_flagged = self.context.now, pending.is_flagged
-        kind = self.kind_of(pending) if met_trouble else None
-        self.predictor.learn(now, kind, pending.features, met_trouble, is_flagged)
-        if met_trouble:
-            self.context.memory_trouble_at = now
-            engine.flag_quota.record(now, not is_flagged)
-
-    def worth_factor(self, tenant: int) -> float:
-        settings = self.context.settings
-        if not 0 <= tenant < len(self._tenant_buckets) or settings.tenants[tenant].quota_rps <= 0:
+        memory_share = pending.memory_mb / engine.memory_mb
+        used_share = 1 - self._load.free_memory(engine) / engine.memory_mb
+        relative_load = self._load.engine_load(engine) / config.THREAD_LIMIT
+        pending.features = estimators.unit_features(
+            memory_share * config.FEATURE_SCALE,
+            used_share,
+            relative_load / config.FEATURE_SCALE,
+            pending.stats.memory_pressure_share.value,
+        )
+        probability = self.predictor.predict(now, self.similarity_key(pending), pending.features)
+        pending.is_memory_risk = probability >= config.MEMORY_RISK_THRESHOLD
+        engine.memory_risk_quota.refill(now)
+        price = memory_risk_price(probability, engine.memory_risk_quota.missed)
+        pending.waits_for_memory = pending.is_memory_risk and engine.memory_risk_quota.spend(price)
+
+    def learn(self, pending: PendingRequest, engine: Engine, met_pressure: bool) -> None:
+        """Learn from a completed request whether it met memory pressure on its engine."""
+        now = self._context.now
+        key = self.similarity_key(pending) if met_pressure else None
+        self.predictor.learn(now, key, pending.features, met_pressure, pending.is_memory_risk)
+        if met_pressure:
+            self._context.memory_pressure_at = now
+            engine.memory_risk_quota.record(now, not pending.is_memory_risk)
+
+    def value_factor(self, tenant: int) -> float:
+        """Count a request of a tenant; return the factor to its value, lower beyond the tenant's quota."""
+        settings = self._context.settings
+        is_known = 0 <= tenant < len(self._tenant_buckets)
+        if not is_known or settings.tenants[tenant].quota_rps <= 0:
             return 1.0
-        rate = settings.tenants[tenant].quota_rps / settings.gateways  # may be under one request
-        self._tenant_buckets[tenant].refill(self.context.now, rate, rate + config.TENANT_BURST)
-        return 1.0 if self._tenant_buckets[tenant].take() else settings.over_share_worth
+        own_rate = settings.tenants[tenant].quota_rps / settings.gateways  # may be below one request a second
+        bucket = self._tenant_buckets[tenant]
+        bucket.refill(self._context.now, own_rate, own_rate + config.TENANT_BURST_REQUESTS)
+        return 1.0 if bucket.take() else settings.over_share_worth
--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -1,55 +1,111 @@
-"""The constants of all decisions. Times are in seconds, loads in threads per core."""
-
-ENTROPY_PRICE = 1.0  # weight of the entropy of its confidence in a flag's price
-MISS_DISCOUNT = 0.1  # off that price for each missed trouble in the window
-MIN_FLAG_PRICE = 0.2
-FLAG_CONFIDENCE = 0.5  # from which a request is flagged
-SMALL_MEMORY_SHARE = 0.06  # of an engine's memory under which a request is never flagged
-MODEL_WEIGHTS = (-2.0, 2.0, 1.0, 1.0, 1.0)  # of the flag model, at first
-MODEL_STEP = 0.1  # its learning rate
-MISS_LIFETIME = 60.0  # for which requests like one whose trouble was missed are flagged
-SPILL_SLOWDOWN = 1.5  # times the usual run that are memory trouble for an attempt that spilled
-OVERRUN = 3.0  # times the usual run that are memory trouble; a bad plan or silence, times the scatter
-SCATTER = 1.5  # mean deviations of a run time that are still chance
-MAX_RATIO = 20.0  # learners ignore ratios beyond this
-SLOWDOWN_PRIOR = 1.5  # of a class without any run
-SCATTER_PRIOR = 0.3  # the same, in mean deviations of the logarithm
+"""The constants of all decisions.
+
+Loads are in threads per core. A constant that ends in SECONDS is a duration, one that ends in MB an amount of
+memory; shares, factors and weights have no unit.
+"""
+
+# Prediction of memory pressure, and the price of a memory risk on the quota of its engine.
+MEMORY_PRESSURE_WINDOW_SECONDS = 3.0  # a few of the longest queries: quota refill, age of the last pressure
+MEMORY_RISK_THRESHOLD = 0.5  # least probability of pressure at which a request is a memory risk
+SMALL_MEMORY_SHARE = 0.06  # share of an engine's memory; smaller requests are never a memory risk
+SPILL_PRESSURE_SLOWDOWN = 1.5  # slowdown, relative to the usual one, that shows pressure after a spill
+MEMORY_PRESSURE_SLOWDOWN = 3.0  # slowdown, relative to the usual one, that shows pressure without a spill
+FEATURE_SCALE = 2  # factor of the request's share of memory, divisor of the engine's load
+MODEL_WEIGHTS = (-2.0, 2.0, 1.0, 1.0, 1.0)  # initial: bias, request's memory, used memory, load, class
+LEARNING_RATE = 0.1
+MAX_MODEL_WEIGHT = 8.0
+MISS_LIFETIME_SECONDS = 60.0  # for this long, requests similar to an unpredicted case are memory risks
+MAX_REMEMBERED_MISSES = 400
+MEMORY_LOG_BASE = 2  # similar requests have memory of the same magnitude to this base
+MISS_DISCOUNT = 0.1  # discount for each unpredicted case on the engine in the present window
+MIN_MEMORY_RISK_PRICE = 0.2
+
+# Estimates of work, memory and run time.
+MAX_RATIO = 20.0  # bound of learned ratios
+SLOWDOWN_PRIOR = 1.5  # slowdown in a class without completed runs
+SCATTER_PRIOR = 0.3  # mean deviation of the logarithm of run times in a class without completed runs
 MAX_EXPECTED_SLOWDOWN = 5.0
-WINDOW = 3.0  # between refills of flag quotas, and over which reports fade: a few of the longest queries
-REPORT_FADE_MANY = 0.8  # the same where many peers pass them on
-SEND_FADE = 0.6  # until a report shows what was sent
-LONG_FADE = 10.0  # over which the usual own load is smoothed, and an own stall is kept in mind
-THREAD_LIMIT = 1.5  # load beyond which the total work done falls; all cores or disks show busy from there
-RANK_LIMITS = (0.7, 0.85, 1.0, 1.6)  # times that limit, by rank, in a full fleet
-RANK_DENSITIES = (0.2, 0.65, 2.0)  # worth per work, against the mean, from which ranks above 0 hold
-TOP_RANK = 3
-LOAD_PRIORITY = 2  # the least of a load: others wait for the tables that it holds
-HOME_LOAD = 1.0  # up to which all but short work takes the first engine; past it the least loaded
-OVERFULL_LOAD = 4.5  # up to which short work passes every limit; assumed of an engine that says "full"
-BUSY_SHARE = 0.85  # of the cores that counts as full
-SATURATED_LOAD = 10.0  # added for each share past that, where a share can no longer show the queue
-HOME_ENGINES = 3  # engines over which instances spread a table group
-MAX_EXAMINED = 6  # engines for one request in one pass
-PROBES_PER_REQUEST = 1.3  # that each request earns its instance
-MAX_PROBES = 4.0  # that accumulate
-PROBE_COST_SHARE = 0.0143  # of a request's worth, the most that its probes may cost
-PROBE_COST_SHARE_ONLY = 0.035  # the same where only probes tell of load
-REPORT_FRESH = 0.4  # for which a load report is fresh
-PROBE_WAIT = 0.06  # for which a probe's answer is waited for: silence is a bad sign
-MAX_FAILURES = 3  # consecutive resets that eject an engine
-MAX_ENGINE_ERRORS = 2  # engines whose errors end a request
-EJECTION_TIME = 1.0  # the first one; doubles with each; also until a probe counts as lost
-MAX_EJECTION_TIME = 8.0
-MAX_EJECTED_SHARE = 0.4  # of the ready engines
-KEY_RUNS_LEFT = 4.0  # times its usual run that a request must have left at its key's turn: run times scatter
-STALL_TOLERANCE = 0.25  # by which a sweep may be late without a stall
-MIN_OVERDUE_SHARE = 0.6  # of the shortest aim: before any cut, so that a lost answer is retried within it
-COLD_SAFETY = 0.34  # of the announced multiple x cores, which is too high
-COLD_SINGLE_SHARE = 0.4  # of a cold engine's window, for one request
-MAX_KEPT = 400  # waiting requests; remembered misses; cached orders of engines
-MAX_QUEUE_TRIES = 24  # waiting requests that are routed in one pass
-SWEEP_INTERVAL = 0.05  # between checks of all pending requests
-FINAL_ANSWER_MARGIN = 0.06  # before the client gives up, for the final answer
-TENANT_BURST = 1.5  # requests of a tenant's share that an instance may be ahead, besides a second's worth
-MIN_RETRY_AFTER = 0.3
-MAX_RETRY_AFTER = 1.5
+SCATTER_DEVIATIONS = 1.5  # mean deviations of a run time that are ascribed to chance
+MIN_WORK_SECONDS = 1e-4
+MIN_MEAN_WORK_SECONDS = 0.001
+TARGET_RUN_TIMES = 3  # initial ratio of a class's target latency to its mean run time
+ANNOUNCED_MEMORY_MARGIN = 1.25  # factor to announced memory where engines choose the memory themselves
+EXPECTED_MEMORY_MARGIN = 1.5  # factor to expected memory
+MIN_CORES = 0.1  # least number of cores of an engine whose kind states none
+
+# Load reports, the loads estimated from them, and limits on the loads of warm and of cold engines.
+REPORT_DECAY_SECONDS = 3.0  # a few of the longest queries
+REPORT_DECAY_MANY_PEERS_SECONDS = 0.8  # the same where many peers forward reports
+PEER_SEND_DECAY_SECONDS = 0.6  # time until load reports include what peers have sent
+OWN_LOAD_DECAY_SECONDS = 10.0
+REPORT_FRESH_SECONDS = 0.4
+FLEET_LOAD_PRIOR_WEIGHT = 0.5
+ENGINE_PRIOR_WEIGHT = 0.3
+MAX_ASSUMED_PEER_LOAD = 1.0  # bound of the load that is assumed of peers without reports
+REPORT_WEIGHT_EXPONENT = 0.5  # the weight of a report in the fleet's mean is 1 / engines ** exponent
+THREADS_PER_QUERY_PRIOR = 1.5
+THREADS_PER_QUERY_PRIOR_WEIGHT = 1.0
+BUSY_SHARE = 0.85  # share of busy cores or disks from which an engine counts as saturated
+SATURATED_LOAD = 10.0  # load added per share above BUSY_SHARE, where a share cannot show the queue
+OVERFULL_LOAD = 4.5  # load up to which short requests pass every limit; assumed of engines that reject
+THREAD_LIMIT = 1.5  # load above which total throughput falls; all cores or disks show busy from here
+PRIORITY_LOAD_FACTORS = (0.7, 0.85, 1.0, 1.6)  # factors to THREAD_LIMIT by priority, in a full fleet
+PRIORITY_DENSITIES = (0.2, 0.65, 2.0)  # least value per work, relative to the mean, of priorities 1 to 3
+TOP_PRIORITY = 3
+MIN_TABLE_LOAD_PRIORITY = 2  # other requests wait for the tables that a table load holds
+LIMIT_TOLERANCE = 1.01  # an engine that is idle but for rounding errors may take any request
+PRESSURE_SLOPE = 3  # slope and offset: low priorities' limits fall between 1/2 and 5/6 of THREAD_LIMIT
+PRESSURE_OFFSET = 1.5
+WARM_UP_MARGIN = 1.05  # factor to the announced warm-up time
+COLD_CAPACITY_FACTOR = 0.34  # correction of the announced multiple of the capacity, which is too high
+COLD_REQUEST_SHARE = 0.4  # share of a cold engine's budget for one window that one request may take
+COLD_BURST_DIVISOR = 4  # unused budget is kept up to that of one window divided by this
+
+# Selection of engines, and the wait queue.
+AFFINITY_ENGINES = 3  # preferred engines of a table group, over which the instances are spread
+AFFINITY_LOAD = 1.0  # load up to which the first usable engine gets all but short requests
+MAX_EXAMINED_ENGINES = 6  # engines examined for one request in one pass
+MAX_CACHED_ENGINE_ORDERS = 400
+MAX_EXACT_CANDIDATES = 2  # with more candidates, instances with many peers choose by a random draw
+INSTANCE_HASH_BITS = 48
+TABLE_GROUP_SCALE = 16  # table groups are told apart in steps of 1 / 16
+MAX_WAITING_REQUESTS = 400
+MAX_ROUTED_REQUESTS = 24  # waiting requests for which an engine is sought in one pass
+MAX_QUEUE_SLOWDOWN = 1.5  # bound of the slowdown that is assumed of waiting requests
+
+# Probes and ejection of engines.
+PROBES_PER_REQUEST = 1.3  # bound of the probes that each request adds to the budget
+MAX_PROBE_BUDGET = 4.0  # probes
+PROBE_COST_SHARE = 0.0143  # largest share of a request's value that its probes may cost
+PROBE_COST_SHARE_NO_REPORTS = 0.035  # the same where only probes report load
+MIN_PROBE_PRICE = 1e-9  # avoids a division by zero
+PROBE_WAIT_SECONDS = 0.06  # a probe that takes longer is a failure of its engine
+PROBE_LOST_SECONDS = 1.0  # a probe that takes longer may be sent again
+MAX_CONSECUTIVE_RESETS = 3  # number of resets in a row that ejects an engine
+EJECTION_SECONDS = 1.0  # duration of the first ejection; each further one takes twice as long
+MAX_EJECTION_SECONDS = 8.0
+MAX_EJECTED_SHARE = 0.4  # share of the ready engines
+
+# Attempts and final answers.
+MAX_ENGINE_ERRORS = 2  # number of engines whose errors end a request
+OVERDUE_FACTOR = 3.0  # expected run times, corrected for scatter, after which an attempt is overdue
+OVERDUE_GROWTH = 2  # factor to that time for each earlier attempt of the request
+MIN_OVERDUE_TARGET_SHARE = 0.6  # share of the shortest target latency, which leaves time for a retry
+ATTEMPT_TIMEOUT_FACTOR = 2  # multiple of the overdue time, where attempts cannot be cancelled
+MIN_PROGRESS = 0.001  # share done that is too small to extrapolate the run time
+ORDER_KEY_RUN_TIMES = 4.0  # run times that must be left at the turn of an order key: run times scatter
+MIN_RETRY_AFTER_SECONDS = 0.3
+MAX_RETRY_AFTER_SECONDS = 1.5
+FINAL_ANSWER_MARGIN_SECONDS = 0.06  # time from the final answer to the client's timeout
+MAX_STALL_MARGIN_SHARE = 0.3  # share of a request's timeout that recent stalls may add to that margin
+TENANT_BURST_REQUESTS = 1.5  # requests beyond a tenant's quota for one second
+
+# Timers and stalls of this instance, and the subscription to the engine list.
+SWEEP_INTERVAL_SECONDS = 0.05
+SWEEP_TIMER_TOKEN = 0
+SUBSCRIBE_TIMER_TOKEN = 1
+STALL_TOLERANCE_SECONDS = 0.25  # lateness of a sweep that is not a stall
+STALL_DECAY_SECONDS = 10.0
+MIN_SUBSCRIBE_DELAY_SECONDS = 1.0
+SUBSCRIBE_DELAY_DIVISOR = 2  # the longest delay is the time limit of a call divided by this
+MIN_SUBSCRIBE_JITTER = 0.5  # delays are multiplied by this plus a random number below 1
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -1,5 +1,6 @@
-"""The controller: events in, actions out. It passes each event on to the part that it is for."""
+"""The controller: takes batches of events, passes each event to its handler, and returns the actions."""
 
+from collections.abc import Sequence
 from dataclasses import replace
 from math import inf
 
@@ -7,23 +8,27 @@
 from . import admission, attempts, config, load_estimation, outlier, scheduling
 from .model import Context, Engine, PendingRequest
 
-SWEEP_TIMER, SUBSCRIBE_TIMER = 0, 1  # tokens
-
 
 class AdmissionController:
-    """Decides on all requests of one instance, without sockets and clocks."""
+    """Decides on all requests of one instance, without access to sockets or clocks."""
 
     def __init__(self, settings: api.Settings, seed: int = 0, router: api.Router | None = None):
-        context = self.context = Context(settings, seed, router or api.Router())
-        self.engines, self.load = context.engines, load_estimation.LoadEstimator(context)
-        self.outliers = outlier.OutlierDetector(context)
-        self.admission = admission.Admission(context, self.load)
-        self.attempts = attempts.AttemptManager(context, self.outliers, self.admission)
-        self.scheduler = scheduling.Scheduler(context, self.attempts)
-        self._stalls = stalls.StallDetector(config.SWEEP_INTERVAL, config.STALL_TOLERANCE, config.LONG_FADE)
-        self._list_backoff = rate_limits.ExponentialBackoff(1.0, max(1.0, settings.ask_within / 2))
+        """Create a controller that knows no engine; without a router, zones make no difference."""
+        self.context = Context(settings, seed, router or api.Router())
+        self.engines = self.context.engines
+        self.load = load_estimation.LoadEstimator(self.context)
+        self.outliers = outlier.OutlierDetector(self.context)
+        self.admission = admission.Admission(self.context, self.load)
+        self.attempts = attempts.AttemptManager(self.context, self.outliers, self.admission, self.load)
+        self.scheduler = scheduling.Scheduler(self.context, self.attempts, self.load, self.outliers)
+        self._stalls = stalls.StallDetector(
+            config.SWEEP_INTERVAL_SECONDS, config.STALL_TOLERANCE_SECONDS, config.STALL_DECAY_SECONDS
+        )
+        min_delay = config.MIN_SUBSCRIBE_DELAY_SECONDS
+        max_delay = max(min_delay, settings.ask_within / config.SUBSCRIBE_DELAY_DIVISOR)
+        self._subscribe_backoff = rate_limits.ExponentialBackoff(min_delay, max_delay)
         self._is_subscribed = settings.discovery_push
-        self._handlers = {
+        self._handlers = {  # the events of a batch are handled in this order
             api.FleetSize: self._on_fleet_size,
             api.EngineList: self._on_engine_list,
             api.PeerLoadReport: self.load.on_peer_report,
@@ -38,30 +43,40 @@
         }
 
     def ejected_engines(self, now: float) -> set[int]:
-        return {number for number, engine in self.engines.items() if engine.health.is_open(now)}
+        """Return the ids of the engines that are ejected now."""
+        return {engine_id for engine_id, engine in self.engines.items() if engine.health.is_open(now)}
 
-    def handle(self, now: float, events: list[api.Event] | tuple[api.Event, ...]) -> list[api.Action]:
-        self.context.now, self.context.actions = now, []
+    def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
+        """Handle the events since the last batch; return the actions to carry out, in their order."""
+        self.context.now = now
+        self.context.actions = []
         if not self._is_subscribed:
-            self._on_timer(api.Timer(SUBSCRIBE_TIMER))
-        if stall := self._stalls.check(now):  # of this instance: it is no one's silence
-            for engine in self.engines.values():
-                engine.probed_at += stall
-                for attempt in engine.attempts.items:
-                    attempt.running_since = min(now, attempt.running_since + stall)
+            self._subscribe()
+        if stall := self._stalls.check(now):
+            self._discount_stall(stall)
         self.load.start_batch()
         dispatching.dispatch_by_type(self._handlers, events)
         if self.scheduler.waiting:
-            self.load.start_pass()
-            self.scheduler.serve(self._stalls.recent(now))
+            self.load.update_thread_limits()
+            self.scheduler.serve_queue(self._stalls.recent(now))
         if self.attempts.pending and self._stalls.set_timer(now):
-            self.context.actions.append(api.SetTimer(config.SWEEP_INTERVAL, SWEEP_TIMER))
+            self.context.actions.append(api.SetTimer(config.SWEEP_INTERVAL_SECONDS, config.SWEEP_TIMER_TOKEN))
         return self.context.actions
 
+    def _discount_stall(self, stall: float) -> None:
+        """Do not count a stall of this instance as silence of engines."""
+        for engine in self.engines.values():
+            engine.probed_at += stall
+            for attempt in engine.attempts.items:
+                attempt.running_since = min(self.context.now, attempt.running_since + stall)
+
+    def _subscribe(self) -> None:
+        self._is_subscribed = True
+        self.context.actions.append(api.Subscribe())
+
     def _on_timer(self, event: api.Timer) -> None:
-        if event.token == SUBSCRIBE_TIMER:
-            self._is_subscribed = True
-            self.context.actions.append(api.Subscribe())
+        if event.token == config.SUBSCRIBE_TIMER_TOKEN:
+            self._subscribe()
         else:
             self._stalls.on_timer()
             self.attempts.sweep(self._stalls.recent(self.context.now))
@@ -71,57 +86,63 @@
 
     def _on_engine_list(self, event: api.EngineList) -> None:
         context = self.context
-        if event.failed:  # ask again with backoff: the list service may be what is overloaded
-            delay = self._list_backoff.advance() * (0.5 + context.random.random())
-            context.actions.append(api.SetTimer(delay, SUBSCRIBE_TIMER))
+        if event.failed:  # the list service may be overloaded, so retries back off
+            jitter = config.MIN_SUBSCRIBE_JITTER + context.random.random()
+            delay = self._subscribe_backoff.advance() * jitter
+            context.actions.append(api.SetTimer(delay, config.SUBSCRIBE_TIMER_TOKEN))
             return
-        self._list_backoff.reset()
+        self._subscribe_backoff.reset()
         entries = {entry.engine: entry for entry in event.entries}
         if event.whole:
-            left = [engine.entry for number, engine in self.engines.items() if number not in entries]
-            entries |= {entry.engine: replace(entry, state=api.State.GONE) for entry in left}
+            missing = [engine.entry for engine_id, engine in self.engines.items() if engine_id not in entries]
+            entries |= {entry.engine: replace(entry, state=api.State.GONE) for entry in missing}
         for entry in entries.values():
-            self._apply_entry(entry, context.random.random() * context.request_density.mean_cost.value)
-        self.scheduler.orders.clear()
+            # The instances see a new engine together: their budgets for it begin with different debts.
+            initial_debt = context.random.random() * context.value_density.mean_cost.value
+            self._apply_entry(entry, initial_debt)
+        self.scheduler.engine_orders.clear()
         ready = [(engine.entry, engine.cores) for engine in context.ready_engines()]
         context.ready_cores = sum(cores for _, cores in ready) or 1.0
         context.zone_router.on_engine_list(context.now, ready)
 
-    def _apply_entry(self, entry: api.EngineEntry, cold_debt: float) -> None:
+    def _apply_entry(self, entry: api.EngineEntry, initial_debt: float) -> None:
         engine = self.engines.get(entry.engine)
         if entry.state is api.State.GONE and not (engine and engine.attempts.items):
             self.engines.pop(entry.engine, None)
         elif engine is None:
-            self.engines[entry.engine] = Engine(entry, self.context, cold_debt)
+            self.engines[entry.engine] = Engine(entry, self.context, initial_debt)
         elif entry.started > engine.entry.started:
-            engine.start(entry, cold_debt)
+            engine.reset(entry, initial_debt)
         else:
             engine.entry = entry
 
     def _on_request(self, request: api.Request) -> None:
-        if request.request in self.attempts.pending or not 0 <= request.cls < len(self.context.classes):
+        is_known = request.request in self.attempts.pending
+        if is_known or not 0 <= request.cls < len(self.context.classes):
             return
-        pending = PendingRequest(request, self.context, self.admission.worth_factor(request.tenant))
-        self.attempts.add(pending)
-        self.outliers.earn_probes()
-        if request.order_unknown:  # sent or not, it could break the order; refused it cannot
-            self.attempts.give_up(pending)
-        else:
-            self.admission.flag(pending, self.scheduler.preferred_engines(pending))
-            self.scheduler.add(pending)  # which is served at the end of the batch
+        pending = PendingRequest(request, self.context, self.admission.value_factor(request.tenant))
+        self.attempts.register(pending)
+        self.outliers.add_probe_budget()
+        if request.order_unknown:  # its execution could break the order of its key
+            self.attempts.reject_or_fail(pending)
+            return
+        self.admission.assess_memory_risk(pending, self.scheduler.preferred_engines(pending))
+        self.scheduler.enqueue(pending)
 
     def _on_outcome(self, event: api.Outcome) -> None:
         if pending := self.attempts.on_outcome(event):
-            self.scheduler.add(pending)
+            self.scheduler.enqueue(pending)
 
     def _on_probe_result(self, event: api.ProbeResult) -> None:
-        if engine := self.engines.get(event.engine):
-            engine.probed_at = inf
-            self.context.zone_router.on_result(self.context.now, engine.entry, event.result)
-            if event.result in (api.Result.OK, api.Result.FULL):  # full: too many probes there, no fault
-                self.load.take_report(engine, event.report)
-            elif self.outliers.is_bad_sign(engine, event.result):
-                self.outliers.suspect(engine, f"probe: {event.result.value}")
+        engine = self.engines.get(event.engine)
+        if engine is None:
+            return
+        engine.probed_at = inf
+        self.context.zone_router.on_result(self.context.now, engine.entry, event.result)
+        if event.result in (api.Result.OK, api.Result.FULL):  # full: too many probes, not a failure
+            self.load.apply_report(engine, event.report)
+        elif self.outliers.record_failure(engine, event.result):
+            self.outliers.eject(engine, f"probe: {event.result.value}")
 
     def _on_started(self, event: api.Started) -> None:
         if pending := self.attempts.pending.get(event.request):
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -1,4 +1,4 @@
-"""How loaded engines are: the own attempts, and the peers' as load reports show them."""
+"""Estimates the load of engines, from own attempts and from reports of what other instances send there."""
 
 from .. import api, estimators
 from . import config
@@ -6,78 +6,106 @@
 
 
 class LoadEstimator:
-    """Loads of engines and of the whole fleet, in threads per core, and the limits that follow from them."""
+    """Estimates the loads of engines and of the fleet, and derives the limits on loads from them."""
 
     def __init__(self, context: Context):
-        self.context = context
-        self._peer_load = estimators.DecayingMean(config.WINDOW)  # over all engines
-        self._peer_sends = estimators.DecayingMean(config.SEND_FADE)  # threads
-        self._own_threads = estimators.TimeWeightedMean(config.LONG_FADE)
-        self.threads_per_query = estimators.DecayingMean(config.LONG_FADE)
-        self._peer_load_by_engine: dict[int, float] = {}  # in this batch
-        self.threads_in_flight, self.thread_limits = 0, []  # the latter by rank, in this pass over the queue
+        """Create an estimator without reports."""
+        self._context = context
+        self._fleet_peer_load = estimators.DecayingMean(config.REPORT_DECAY_SECONDS)
+        self._fleet_peer_sends = estimators.DecayingMean(config.PEER_SEND_DECAY_SECONDS)
+        self._own_threads = estimators.TimeWeightedMean(config.OWN_LOAD_DECAY_SECONDS)
+        self._peer_load_by_engine: dict[int, float] = {}  # cached during a batch of events
+        self.threads_per_query = estimators.DecayingMean(config.OWN_LOAD_DECAY_SECONDS)
+        self.threads_in_flight = 0  # threads of own attempts
+        self.thread_limits: list[float] = []  # limits on an engine's load, by the priority of the request
 
     def start_batch(self) -> None:
+        """Begin a batch of events: drop cached loads and sample the own load."""
         self._peer_load_by_engine.clear()
-        self._own_threads.add(self.context.now, self.threads_in_flight)
+        self._own_threads.add(self._context.now, self.threads_in_flight)
 
-    def start_pass(self) -> None:
-        pressure = min(max(3 * sum(self.fleet_load()) / config.THREAD_LIMIT - 1.5, 0.0), 1.0)
-        limits = zip(config.RANK_LIMITS, (pressure, pressure, pressure, 1.0))
-        self.thread_limits = [config.THREAD_LIMIT * (1 + (limit - 1) * each) for limit, each in limits]
+    def update_thread_limits(self) -> None:
+        """Set the limits by priority, which differ only as the fleet fills up."""
+        relative_load = config.PRESSURE_SLOPE * sum(self.fleet_load()) / config.THREAD_LIMIT
+        pressure = min(max(relative_load - config.PRESSURE_OFFSET, 0.0), 1.0)
+        pressures = (pressure, pressure, pressure, 1.0)  # by priority; the top one has its limit at all times
+        limits = zip(config.PRIORITY_LOAD_FACTORS, pressures)
+        self.thread_limits = [config.THREAD_LIMIT * (1 + (factor - 1) * weight) for factor, weight in limits]
 
     def fleet_load(self) -> tuple[float, float]:
-        own = self._own_threads.mean(self.context.now, config.SWEEP_INTERVAL) / self.context.ready_cores
-        peers = self.context.settings.gateways - 1
-        guess = min(own * peers, config.HOME_LOAD)
-        return own, self._peer_load.mean(self.context.now, guess, 0.5) if peers else 0.0
+        """Return the mean load of a core by this instance, and by all other instances."""
+        now = self._context.now
+        own_threads = self._own_threads.mean(now, config.SWEEP_INTERVAL_SECONDS)
+        own_load = own_threads / self._context.ready_cores
+        peer_count = self._context.settings.gateways - 1
+        if not peer_count:
+            return own_load, 0.0
+        assumed_load = min(own_load * peer_count, config.MAX_ASSUMED_PEER_LOAD)
+        return own_load, self._fleet_peer_load.mean(now, assumed_load, config.FLEET_LOAD_PRIOR_WEIGHT)
 
-    def _peer_load_on(self, engine: Engine) -> float:
-        if self.context.settings.gateways <= 1:
+    def _estimate_peer_load(self, engine: Engine) -> float:
+        if self._context.settings.gateways <= 1:
             return 0.0
-        engine.peer_sends.decay(self.context.now)
-        unseen = engine.peer_sends.total - self._peer_sends.total / self.context.ready_cores
-        reported = engine.peer_load.mean(self.context.now, self.fleet_load()[1], 0.3)
-        return max(0.0, reported + min(unseen, config.OVERFULL_LOAD))
+        now = self._context.now
+        engine.peer_sends.decay(now)
+        unreported_load = engine.peer_sends.total - self._fleet_peer_sends.total / self._context.ready_cores
+        _, fleet_peer_load = self.fleet_load()
+        reported_load = engine.peer_load.mean(now, fleet_peer_load, config.ENGINE_PRIOR_WEIGHT)
+        return max(0.0, reported_load + min(unreported_load, config.OVERFULL_LOAD))
 
     def engine_load(self, engine: Engine) -> float:
-        number = engine.entry.engine
-        if number not in self._peer_load_by_engine:
-            self._peer_load_by_engine[number] = self._peer_load_on(engine)
-        return engine.attempts.threads / engine.cores + self._peer_load_by_engine[number]
+        """Return the load of an engine by all instances."""
+        engine_id = engine.entry.engine
+        if engine_id not in self._peer_load_by_engine:
+            self._peer_load_by_engine[engine_id] = self._estimate_peer_load(engine)
+        return engine.attempts.threads / engine.cores + self._peer_load_by_engine[engine_id]
 
     def free_memory(self, engine: Engine) -> float:
-        classes = self.context.classes
-        per_thread = sum(one.memory.mean.value / one.spec.threads for one in classes) / len(classes)
-        guess = min(1.0, self._peer_load_on(engine) * engine.cores * per_thread / engine.memory_mb)
-        peer_share = engine.peer_memory.mean(self.context.now, guess, 0.3)
+        """Return the memory (MB) of an engine that no instance uses; negative if it is overcommitted."""
+        classes = self._context.classes
+        memory_per_thread = sum(stats.memory.mean.value / stats.spec.threads for stats in classes)
+        memory_per_thread /= len(classes)
+        peer_threads = self._estimate_peer_load(engine) * engine.cores
+        assumed_share = min(1.0, peer_threads * memory_per_thread / engine.memory_mb)
+        peer_share = engine.peer_memory.mean(self._context.now, assumed_share, config.ENGINE_PRIOR_WEIGHT)
         return engine.memory_mb * (1 - peer_share) - engine.attempts.memory
 
     def on_peer_report(self, event: api.PeerLoadReport) -> None:
-        if engine := self.context.engines.get(event.engine):
-            engine.peer_sends.add(self.context.now, event.threads / engine.cores)
-            self._peer_sends.add(self.context.now, event.threads)
+        """Take in what a peer has sent to an engine, and the load report that the peer had from it."""
+        if engine := self._context.engines.get(event.engine):
+            engine.peer_sends.add(self._context.now, event.threads / engine.cores)
+            self._fleet_peer_sends.add(self._context.now, event.threads)
             if event.report:
-                self.take_report(engine, event.report)
+                self.apply_report(engine, event.report)
 
-    def take_report(self, engine: Engine, values: tuple[float, ...]) -> None:
-        now = engine.reported_at = self.context.now
-        reported = estimators.finite_readings(self.context.settings.report_columns, values)
-        if (load := self._reported_load(engine, reported)) is not None:
-            peer_load = min(max(0.0, load - engine.attempts.threads / engine.cores), config.OVERFULL_LOAD)
+    def apply_report(self, engine: Engine, values: tuple[float, ...]) -> None:
+        """Take in a load report of an engine; its values are in the order of the settings' columns."""
+        now = self._context.now
+        engine.reported_at = now
+        readings = estimators.finite_readings(self._context.settings.report_columns, values)
+        load = self._reported_load(engine, readings)
+        if load is not None:
+            own_load = engine.attempts.threads / engine.cores
+            peer_load = min(max(0.0, load - own_load), config.OVERFULL_LOAD)
             engine.peer_load.add(now, peer_load)
-            self._peer_load.add(now, peer_load, 1 / len(self.context.engines) ** 0.5)
-        if "memory_used" in reported:
-            share = min(reported["memory_used"], 1.0) - engine.attempts.memory / engine.memory_mb
-            engine.peer_memory.add(now, max(0.0, share))
-        if reported.get("waiting", 0) >= 1:
-            self.context.memory_trouble_at = now
+            weight = 1 / len(self._context.engines) ** config.REPORT_WEIGHT_EXPONENT
+            self._fleet_peer_load.add(now, peer_load, weight)
+        if "memory_used" in readings:
+            own_share = engine.attempts.memory / engine.memory_mb
+            engine.peer_memory.add(now, max(0.0, min(readings["memory_used"], 1.0) - own_share))
+        if readings.get("waiting", 0) >= 1:
+            self._context.memory_pressure_at = now
 
-    def _reported_load(self, engine: Engine, reported: dict[str, float]) -> float | None:
-        if "active" in reported:
-            threads_each = self.threads_per_query.mean(self.context.now, 1.5, 1.0)
-            return reported["active"] * threads_each / engine.cores
-        shares = [reported[name] for name in ("cpu", "disk_busy") if name in reported]
-        busy = min(max(shares, default=0.0), 1.0)
-        load = busy * config.THREAD_LIMIT + max(0.0, busy - config.BUSY_SHARE) * config.SATURATED_LOAD
-        return load if shares else None
+    def _reported_load(self, engine: Engine, readings: dict[str, float]) -> float | None:
+        """Return the load that a report shows; None if it shows none."""
+        if "active" in readings:
+            threads_per_query = self.threads_per_query.mean(
+                self._context.now, config.THREADS_PER_QUERY_PRIOR, config.THREADS_PER_QUERY_PRIOR_WEIGHT
+            )
+            return readings["active"] * threads_per_query / engine.cores
+        busy_shares = [readings[name] for name in ("cpu", "disk_busy") if name in readings]
+        if not busy_shares:
+            return None
+        busy_share = min(max(busy_shares), 1.0)
+        excess = max(0.0, busy_share - config.BUSY_SHARE)
+        return busy_share * config.THREAD_LIMIT + excess * config.SATURATED_LOAD
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -1,8 +1,8 @@
-"""What this instance knows: its requests and their attempts, classes, engines, and what all parts share."""
+"""The state that the parts of the decision module share: requests, attempts, classes and engines."""
 
 from __future__ import annotations
 
-from math import inf, isfinite
+from math import inf
 from random import Random
 
 from .. import api, circuit_breaker, containers, estimators, rate_limits
@@ -13,134 +13,191 @@
     """One execution of a request on one engine."""
 
     def __init__(self, pending: PendingRequest, engine: Engine):
-        self.pending, self.entry, self.index = pending, engine.entry, len(pending.attempts)
-        self.sent_at = self.running_since = engine.context.now  # the latter is moved on by own stalls
+        """Create an attempt that is sent now."""
+        self.pending = pending
+        self.entry = engine.entry
+        self.index = len(pending.attempts)  # position among the attempts of the request
+        self.sent_at = engine.context.now
+        self.running_since = self.sent_at  # moved forward by each stall of this instance
         self.granted_mb = min(pending.grant_mb, engine.memory_mb * engine.context.settings.largest_share)
         self.result: api.Result | None = None
-        self.is_cancelled = self.met_memory_trouble = self.caused_ejection = False
+        self.is_cancelled = False
+        self.met_memory_pressure = False  # as reported by the engine
+        self.caused_ejection = False
 
 
 class PendingRequest:
-    """A request that this instance has taken and not yet ended."""
-
-    def __init__(self, request: api.Request, context: Context, worth_factor: float):
-        now, stats = context.now, context.classes[request.cls]
-        self.request, self.stats, self.spec = request, stats, stats.spec
-        self.deadline = now + max(0.0, request.ttl if isfinite(request.ttl) else stats.spec.deadline)
-        self.max_stall_margin = 0.3 * (self.deadline - now)
-        self.attempts, self.in_flight, self.features = [], 0, ()  # the last: of the flag model
-        self.is_finished = self.is_streaming = self.is_answered = False
-        self.is_flagged = self.is_flag_accepted = False
-        self.work = max(stats.work.expect(request.work if isfinite(request.work) else 0.0), 1e-4)
-        announced_mb = max(request.memory_mb, 0.0) if isfinite(request.memory_mb) else 0.0
-        self.memory_mb = stats.memory.expect(announced_mb)
-        is_fixed = announced_mb and not context.settings.memory_heeded
-        self.grant_mb = announced_mb * 1.25 if is_fixed else self.memory_mb * 1.5
-        self.run_time, self.worth = self.work / stats.spec.threads, stats.spec.worth * worth_factor
-        self.aim_at = now + stats.spec.aim + stats.spec.aim_stretch * self.run_time
-        context.request_density.add(self.worth, stats.work.mean.value)  # an announced estimate can be far off
-        density = context.request_density.density(self.worth, self.work)
-        self.rank = sum(density >= level for level in config.RANK_DENSITIES)
-        self.queue_key = (-self.worth / self.work, now, request.request)
+    """A request that has been taken and has not ended."""
+
+    def __init__(self, request: api.Request, context: Context, value_factor: float):
+        """Create a request that comes in now; `value_factor` is lower beyond its tenant's quota."""
+        self.request = request
+        self.stats = context.classes[request.cls]
+        self.spec = self.stats.spec
+        self.deadline = context.now + max(0.0, estimators.finite_or(request.ttl, self.spec.deadline))
+        self.max_stall_margin = config.MAX_STALL_MARGIN_SHARE * (self.deadline - context.now)
+        self.attempts: list[Attempt] = []
+        self.in_flight = 0  # attempts without a result
+        self.is_finished = False  # it has its final answer, or its client is gone
+        self.is_streaming = False  # its client receives rows, so that no other attempt can answer it
+        self.is_answered = False  # its final answer has been delivered
+        self.is_memory_risk = False  # it may exhaust the memory of its engine
+        self.waits_for_memory = False  # it needs an engine with enough free memory
+        self.features: tuple[float, ...] = ()  # for the prediction of memory pressure; empty without one
+        announced_work = estimators.finite_or(request.work, 0.0)
+        self.work = max(self.stats.work.expect(announced_work), config.MIN_WORK_SECONDS)
+        announced_mb = estimators.finite_or(max(request.memory_mb, 0.0), 0.0)
+        self.memory_mb = self.stats.memory.expect(announced_mb)
+        if announced_mb and not context.settings.memory_heeded:
+            self.grant_mb = announced_mb * config.ANNOUNCED_MEMORY_MARGIN
+        else:
+            self.grant_mb = self.memory_mb * config.EXPECTED_MEMORY_MARGIN
+        self.run_time = self.work / self.spec.threads  # on an idle engine
+        self.target_at = context.now + self.spec.aim + self.spec.aim_stretch * self.run_time
+        self.value = self.spec.worth * value_factor  # of an answer by `target_at`
+        # The mean takes the usual work of the class, since one announced estimate can be far off.
+        context.value_density.add(self.value, self.stats.work.mean.value)
+        density = context.value_density.density(self.value, self.work)
+        self.priority = sum(density >= least_density for least_density in config.PRIORITY_DENSITIES)
+        self.queue_key = (-self.value / self.work, context.now, request.request)
 
     def allows(self, entry: api.EngineEntry) -> bool:
-        zones, kinds = self.spec.zones, self.spec.kinds
-        return (zones is None or entry.zone in zones) and (kinds is None or entry.kind in kinds)
+        """Return whether the placement rules of its class allow an engine."""
+        is_zone_allowed = self.spec.zones is None or entry.zone in self.spec.zones
+        is_kind_allowed = self.spec.kinds is None or entry.kind in self.spec.kinds
+        return is_zone_allowed and is_kind_allowed
 
-    def is_repeatable(self) -> bool:
+    def is_safely_repeatable(self) -> bool:
+        """Return whether another execution is harmless and can still answer it."""
         return self.spec.repeat is api.Repeat.SAFE and not self.is_streaming and not self.is_finished
 
     def first_executed(self) -> Attempt | None:
+        """Return the first attempt that may have been executed."""
         return next((attempt for attempt in self.attempts if attempt.result not in api.NEVER_RAN), None)
 
-    def is_spent(self, now: float) -> bool:
+    def is_repeat_forbidden(self, now: float) -> bool:
+        """Return whether it may have been executed, and engines would not recognize a repetition."""
         first = None if self.spec.repeat is api.Repeat.SAFE else self.first_executed()
         window = self.spec.repeat_window if self.spec.repeat is api.Repeat.KEYED else -inf
         return first is not None and now >= first.sent_at + window
 
     def final_answer_at(self, stall: float) -> float:
-        return self.deadline - config.FINAL_ANSWER_MARGIN - min(stall, self.max_stall_margin)
+        """Return when it is answered at the latest, after a recent stall of so many seconds."""
+        return self.deadline - config.FINAL_ANSWER_MARGIN_SECONDS - min(stall, self.max_stall_margin)
 
     def expected_run_time(self) -> float:
+        """Return its expected run time on an engine with the usual load."""
         return self.stats.run_time.expect(self.run_time)
 
 
 class ClassStatistics:
-    """What is learned of the requests of one class."""
+    """What is learned from the completed requests of one class."""
 
     def __init__(self, spec: api.ClassSpec):
+        """Create the statistics of a class without completed requests."""
         self.spec = spec
-        self.work = estimators.EstimateCorrection(max(spec.aim / 3 * spec.threads, 0.001), config.MAX_RATIO)
+        mean_work = max(spec.aim / config.TARGET_RUN_TIMES * spec.threads, config.MIN_MEAN_WORK_SECONDS)
+        self.work = estimators.EstimateCorrection(mean_work, config.MAX_RATIO)
         self.memory = estimators.EstimateCorrection(0.0, config.MAX_RATIO)
-        self.trouble = estimators.RunningMean(0.0)  # share of requests that met memory trouble
-        priors = (config.SLOWDOWN_PRIOR, config.SCATTER_PRIOR)
-        self.run_time = estimators.RunTimeEstimate(*priors, config.MAX_RATIO, config.MAX_EXPECTED_SLOWDOWN)
+        self.memory_pressure_share = estimators.RunningMean(0.0)  # share of requests that met pressure
+        self.run_time = estimators.RunTimeEstimate(
+            config.SLOWDOWN_PRIOR, config.SCATTER_PRIOR, config.MAX_RATIO, config.MAX_EXPECTED_SLOWDOWN
+        )
 
     def learn(self, attempt: Attempt, event: api.Outcome, run_time: float) -> bool:
-        pending, usual_slowdown = attempt.pending, self.run_time.slowdown.value
-        free_run_time = (event.work if event.work > 0 else pending.work) / self.spec.threads
+        """Learn from a completed attempt; return whether it met memory pressure."""
+        pending = attempt.pending
+        usual_slowdown = self.run_time.slowdown.value
+        used_work = event.work if event.work > 0 else pending.work
+        free_run_time = used_work / self.spec.threads
         slowdown = self.run_time.learn(pending.expected_run_time(), free_run_time, run_time)
         self.work.learn(pending.request.work, event.work)
         self.memory.learn(pending.request.memory_mb, event.memory_mb)
-        spilled = event.memory_mb > attempt.granted_mb > 0
-        is_slow = slowdown > usual_slowdown * (config.SPILL_SLOWDOWN if spilled else config.OVERRUN)
-        self.trouble.add(float(attempt.met_memory_trouble or is_slow))
-        return attempt.met_memory_trouble or is_slow
+        has_spilled = event.memory_mb > attempt.granted_mb > 0
+        limit = config.SPILL_PRESSURE_SLOWDOWN if has_spilled else config.MEMORY_PRESSURE_SLOWDOWN
+        met_pressure = attempt.met_memory_pressure or slowdown > usual_slowdown * limit
+        self.memory_pressure_share.add(float(met_pressure))
+        return met_pressure
 
 
 class Engine:
-    """One engine: the own attempts on it, what reports show of the others', and its health."""
-
-    def __init__(self, entry: api.EngineEntry, context: Context, cold_debt: float):
-        kind = context.settings.kinds[min(entry.kind, len(context.settings.kinds) - 1)]
-        self.context, self.flag_quota = context, rate_limits.AdaptiveQuota(config.WINDOW, base=1.0)
-        self.attempts: containers.Reservations[Attempt] = containers.Reservations()  # own, in flight
-        self.cores, self.memory_mb = kind.cores or max(entry.size, 0.1), kind.memory_mb or inf
-        self.start(entry, cold_debt)
-
-    def start(self, entry: api.EngineEntry, cold_debt: float) -> None:
-        self.entry, has_many_peers = entry, self.context.settings.gateways > config.HOME_ENGINES
-        report_fade = config.REPORT_FADE_MANY if has_many_peers else config.WINDOW
-        self.peer_load = estimators.DecayingMean(report_fade)  # threads per core
-        self.peer_memory = estimators.DecayingMean(config.WINDOW)  # share of its memory
-        self.peer_sends = estimators.DecayingMean(config.SEND_FADE)  # threads per core
-        self.health = circuit_breaker.CircuitBreaker(config.EJECTION_TIME, config.MAX_EJECTION_TIME)
-        self.reported_at, self.succeeded_at, self.probed_at = -inf, -inf, inf  # inf: no probe is in flight
-        self.cold_budget = rate_limits.TokenBucket(-cold_debt, self.context.now)  # not as of its start
-
-    def has_load_of(self, tables: float) -> bool:
-        loads = (one.pending for one in self.attempts.items if one.pending.spec.load)
-        return any(load.request.tables == tables for load in loads)
+    """One engine: own attempts in flight, what load reports say, and health."""
+
+    def __init__(self, entry: api.EngineEntry, context: Context, initial_debt: float):
+        """Create an engine that has come into the list; `initial_debt` is that of `reset`."""
+        kinds = context.settings.kinds
+        kind = kinds[min(entry.kind, len(kinds) - 1)]
+        self.context = context
+        self.cores = kind.cores or max(entry.size, config.MIN_CORES)
+        self.memory_mb = kind.memory_mb or inf
+        self.attempts: containers.Reservations[Attempt] = containers.Reservations()
+        self.memory_risk_quota = rate_limits.AdaptiveQuota(config.MEMORY_PRESSURE_WINDOW_SECONDS, base=1.0)
+        self.reset(entry, initial_debt)
+
+    def reset(self, entry: api.EngineEntry, initial_debt: float) -> None:
+        """Begin anew after a start of the engine; its cold budget begins with a debt, in seconds of work."""
+        self.entry = entry
+        has_many_peers = self.context.settings.gateways > config.AFFINITY_ENGINES
+        decay = config.REPORT_DECAY_MANY_PEERS_SECONDS if has_many_peers else config.REPORT_DECAY_SECONDS
+        self.peer_load = estimators.DecayingMean(decay)  # threads per core
+        self.peer_memory = estimators.DecayingMean(config.REPORT_DECAY_SECONDS)  # share of its memory
+        self.peer_sends = estimators.DecayingMean(config.PEER_SEND_DECAY_SECONDS)  # threads per core
+        self.health = circuit_breaker.CircuitBreaker(config.EJECTION_SECONDS, config.MAX_EJECTION_SECONDS)
+        self.reported_at = -inf
+        self.succeeded_at = -inf
+        self.probed_at = inf  # infinite without a probe in flight
+        # The cold budget accrues from now on, not from the start of the engine.
+        self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)
+
+    def runs_table_load(self, table_group: float) -> bool:
+        """Return whether an own attempt there loads a group of tables, which blocks their readers."""
+        requests = (attempt.pending for attempt in self.attempts.items)
+        return any(pending.spec.load and pending.request.tables == table_group for pending in requests)
 
     def is_available(self) -> bool:
+        """Return whether it may get an attempt; on probation it gets one at a time."""
         is_ready = self.entry.state is api.State.READY and self.health.open_until <= self.context.now
         return is_ready and not (self.health.on_probation and self.attempts.items)
 
-    def warmth(self, now: float) -> float:
-        age, settings = now - self.entry.started, self.context.settings
-        is_warm = self.entry.started <= 0 or age >= settings.warm_up * 1.05
+    def capacity_share(self, now: float) -> float:
+        """Return its share of its full capacity, which it reaches at the end of its warm-up."""
+        settings = self.context.settings
+        age = now - self.entry.started
+        is_warm = self.entry.started <= 0 or age >= settings.warm_up * config.WARM_UP_MARGIN
         return 1.0 if is_warm else estimators.quadratic_ramp(age, settings.warm_up, settings.cold_share)
 
     def cold_budget_allows(self, work: float, now: float) -> bool:
-        if self.entry.started <= 0 or (warmth := self.warmth(now)) >= 1.0:
+        """Return whether it may get this much work (s) now; there is no limit once it is warm."""
+        capacity_share = self.capacity_share(now)
+        if self.entry.started <= 0 or capacity_share >= 1.0:
             return True
         settings = self.context.settings
-        rate = settings.fall_multiple * warmth * self.cores * config.COLD_SAFETY
-        own_rate = rate / settings.gateways  # may be under one query, so it may go into debt
-        self.cold_budget.refill(now, own_rate, own_rate * settings.fall / 4)
-        return self.cold_budget.level >= 0 and work <= rate * settings.fall * config.COLD_SINGLE_SHARE
+        fleet_rate = settings.fall_multiple * capacity_share * self.cores * config.COLD_CAPACITY_FACTOR
+        own_rate = fleet_rate / settings.gateways
+        max_level = own_rate * settings.fall / config.COLD_BURST_DIVISOR
+        self.cold_budget.refill(now, own_rate, max_level)
+        max_work = fleet_rate * settings.fall * config.COLD_REQUEST_SHARE
+        # The share of one instance may be under one request, so one that is sent may leave a debt.
+        return self.cold_budget.level >= 0 and work <= max_work
 
 
 class Context:
-    """Settings, clock, random numbers, zone router, engines, classes, and the actions of this batch."""
+    """What all parts of the decision module share: settings, clock, random numbers, engines, actions."""
 
     def __init__(self, settings: api.Settings, seed: int, zone_router: api.Router):
-        self.settings, self.zone_router, self.random = settings, zone_router, Random(seed)
-        self.instance_hash = self.random.getrandbits(48)  # spreads the instances over a group's home engines
-        self.now, self.memory_trouble_at = -inf, -inf  # the latter: its last sign on any engine
-        self.actions, self.engines = [], {}  # an engine that is gone stays until its attempts have ended
-        self.ready_cores, self.request_density = 1.0, estimators.RelativeDensity()  # worth per work
+        """Create the state of an instance that knows no engine."""
+        self.settings = settings
+        self.zone_router = zone_router
+        self.random = Random(seed)
+        self.instance_hash = self.random.getrandbits(config.INSTANCE_HASH_BITS)  # for the order of engines
+        self.now = -inf  # time of the present batch of events
+        self.memory_pressure_at = -inf  # time of the last memory pressure on any engine
+        self.actions: list[api.Action] = []  # actions of the present batch
+        self.engines: dict[int, Engine] = {}  # an engine that is gone stays until its attempts have ended
+        self.ready_cores = 1.0  # cores of all ready engines; never 0
+        self.value_density = estimators.RelativeDensity()
         self.classes = [ClassStatistics(spec) for spec in settings.classes]
 
     def ready_engines(self) -> list[Engine]:
+        """Return the engines that are listed as ready, including ejected ones."""
         return [engine for engine in self.engines.values() if engine.entry.state is api.State.READY]
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -1,4 +1,4 @@
-"""The health of engines: probes, and ejection at bad signs."""
+"""Outlier detection: probes engines, and ejects those that fail."""
 
 from .. import api
 from . import config
@@ -6,65 +6,80 @@
 
 
 class OutlierDetector:
-    """Ejects engines at bad signs; probes some before they get a request, within a budget."""
+    """Ejects failing engines, and probes engines before they get a request, within a budget."""
 
     def __init__(self, context: Context):
-        self.context, settings = context, context.settings
+        """Create a detector with a full probe budget."""
+        self._context = context
+        settings = context.settings
         self._only_probes_report = settings.gateways > 1 and settings.report_how == "probe"
-        cost_share = config.PROBE_COST_SHARE_ONLY if self._only_probes_report else config.PROBE_COST_SHARE
-        self._probe_rate = min(config.PROBES_PER_REQUEST, cost_share / max(settings.probe_price, 1e-9))
-        self._probe_budget = config.MAX_PROBES
-        self.probes_before_send = settings.gateways > 1 and self._probe_rate >= 1  # each request can pay
+        max_cost = config.PROBE_COST_SHARE_NO_REPORTS if self._only_probes_report else config.PROBE_COST_SHARE
+        affordable_probes = max_cost / max(settings.probe_price, config.MIN_PROBE_PRICE)
+        self._probes_per_request = min(config.PROBES_PER_REQUEST, affordable_probes)
+        self._probe_budget = config.MAX_PROBE_BUDGET
+        self.probes_before_send = settings.gateways > 1 and self._probes_per_request >= 1
 
-    def earn_probes(self) -> None:
-        self._probe_budget = min(self._probe_budget + self._probe_rate, config.MAX_PROBES)
+    def add_probe_budget(self) -> None:
+        """Add what one request brings in to the probe budget."""
+        self._probe_budget = min(self._probe_budget + self._probes_per_request, config.MAX_PROBE_BUDGET)
 
     def needs_probe(self, engine: Engine, pending: PendingRequest) -> bool:
-        is_long = self._only_probes_report and pending.work >= self.context.request_density.mean_cost.value
+        """Return whether an engine should be probed before it gets a request, and the budget allows it."""
+        context = self._context
+        is_long = self._only_probes_report and pending.work >= context.value_density.mean_cost.value
         is_wanted = engine.health.on_probation or self.probes_before_send or is_long
-        is_affordable = self._probe_budget >= 1 or engine.probed_at <= self.context.now
-        is_stale = self.context.now - engine.reported_at > config.REPORT_FRESH
-        return self.context.settings.may_probe and is_wanted and is_affordable and is_stale
+        is_affordable = self._probe_budget >= 1 or engine.probed_at <= context.now
+        is_report_old = context.now - engine.reported_at > config.REPORT_FRESH_SECONDS
+        return context.settings.may_probe and is_wanted and is_affordable and is_report_old
 
     def probe(self, engine: Engine) -> bool:
-        now = self.context.now
-        is_lost = not engine.probed_at <= now <= engine.probed_at + config.EJECTION_TIME
-        if is_lost and self.context.settings.may_probe:
+        """Probe an engine unless a probe is in flight; return whether an answer may still come in time."""
+        now = self._context.now
+        is_in_flight = engine.probed_at <= now <= engine.probed_at + config.PROBE_LOST_SECONDS
+        if not is_in_flight and self._context.settings.may_probe:
             engine.probed_at = now
             self._probe_budget -= 1
-            self.context.actions.append(api.Probe(engine.entry.engine))
-        return engine.probed_at <= now <= engine.probed_at + config.PROBE_WAIT
+            self._context.actions.append(api.Probe(engine.entry.engine))
+        return engine.probed_at <= now <= engine.probed_at + config.PROBE_WAIT_SECONDS
 
-    def judge(self, engine: Engine, attempt: Attempt, result: api.Result) -> None:
+    def on_attempt_result(self, engine: Engine, attempt: Attempt, result: api.Result) -> None:
+        """Take in how an attempt ended on an engine."""
+        now = self._context.now
         if result is api.Result.OK:
-            engine.succeeded_at = self.context.now
+            engine.succeeded_at = now
             engine.health.record_success()
-        elif result is api.Result.FULL:  # overfull by all instances together: no fault of its own
-            engine.reported_at = self.context.now
-            engine.peer_load.add(self.context.now, config.OVERFULL_LOAD)
+        elif result is api.Result.FULL:  # caused by all instances together: not a failure of the engine
+            engine.reported_at = now
+            engine.peer_load.add(now, config.OVERFULL_LOAD)
         elif result is api.Result.CONNECT_FAILED:
-            self.suspect(engine, result.value)
+            self.eject(engine, result.value)
         elif result in (api.Result.ERROR, api.Result.RESET):
-            is_bad = self.is_bad_sign(engine, result)
-            errors = [one for one in attempt.pending.attempts if one.result is api.Result.ERROR]
-            if result is api.Result.ERROR and errors[0].index < attempt.pending.attempts[-1].index:
-                self._pardon(errors[0])  # no engine can use this request: that says nothing of them
-            elif is_bad:
-                self.suspect(engine, result.value)
+            should_eject = self.record_failure(engine, result)
+            attempts = attempt.pending.attempts
+            errors = [other for other in attempts if other.result is api.Result.ERROR]
+            if result is api.Result.ERROR and errors[0].index < attempts[-1].index:
+                self._revoke_ejection(errors[0])  # two engines fail: the request is the cause
+            elif should_eject:
+                self.eject(engine, result.value)
                 attempt.caused_ejection = True
 
-    def is_bad_sign(self, engine: Engine, result: api.Result) -> bool:
-        return engine.health.record_failure(result is not api.Result.RESET, config.MAX_FAILURES)
+    def record_failure(self, engine: Engine, result: api.Result) -> bool:
+        """Record a failure of an engine; return whether it is a reason to eject the engine."""
+        is_conclusive = result is not api.Result.RESET
+        return engine.health.record_failure(is_conclusive, config.MAX_CONSECUTIVE_RESETS)
 
-    def _pardon(self, attempt: Attempt) -> None:
-        engine = self.context.engines.get(attempt.entry.engine)
+    def _revoke_ejection(self, attempt: Attempt) -> None:
+        engine = self._context.engines.get(attempt.entry.engine)
         if engine and attempt.caused_ejection and engine.health.consecutive_failures <= 1:
             engine.health.close()
 
-    def suspect(self, engine: Engine, reason: str) -> None:
-        """Eject an engine, unless too many are, and put it on probation: last choice until an answer."""
-        engine.health.on_probation, now = True, self.context.now
-        ejected = [one.health.is_open(now) for one in self.context.ready_engines()]
+    def eject(self, engine: Engine, reason: str) -> None:
+        """Put an engine on probation until its next success, and eject it unless too many are ejected."""
+        now = self._context.now
+        engine.health.on_probation = True
+        ejected = [ready.health.is_open(now) for ready in self._context.ready_engines()]
         may_eject = sum(ejected) < int(len(ejected) * config.MAX_EJECTED_SHARE)
-        if may_eject and not engine.health.is_open(now) and engine.health.open(now):
-            self.context.actions.append(api.Log(f"engine {engine.entry.engine} rests: {reason}"))
+        if may_eject and not engine.health.is_open(now):
+            is_first_ejection = engine.health.open(now)
+            if is_first_ejection:
+                self._context.actions.append(api.Log(f"engine {engine.entry.engine} rests: {reason}"))
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -1,116 +1,182 @@
-"""Which waiting request is sent next, and to which engine."""
+"""Scheduling: which waiting request is sent next, and to which engine."""
 
 from itertools import islice
 from math import inf
+from typing import NamedTuple
 
 from .. import containers, hashing, selection
 from . import config
 from .attempts import AttemptManager
+from .load_estimation import LoadEstimator
 from .model import Context, Engine, PendingRequest
+from .outlier import OutlierDetector
+
+
+class Route(NamedTuple):
+    """Where a request is sent, if anywhere."""
+
+    engine: Engine | None = None
+    may_open: bool = False  # there is no engine, but a probe in flight may soon show one
+
+
+class Candidate(NamedTuple):
+    """An engine that may get a request; the least one, by the fields in their order, is the best."""
+
+    is_last_resort: bool  # the request was tried there, or the engine is on probation
+    zone_tier: int
+    is_remote: bool  # not one of the preferred engines, or loaded beyond the limit
+    load: float
+    engine_id: int
 
 
 class Scheduler:
-    """Serves waiting requests by worth per work; selects engines by table group, zone, load and health."""
+    """Sends waiting requests in the order of their value per work, and selects their engines."""
 
-    def __init__(self, context: Context, attempts: AttemptManager):
-        self.context, self._attempts = context, attempts
-        self._load, self._outliers = attempts.load, attempts.outliers
-        self.waiting, self.orders = [], containers.BoundedCache(config.MAX_KEPT)  # by table group and class
+    def __init__(
+        self, context: Context, attempts: AttemptManager, load: LoadEstimator, outliers: OutlierDetector
+    ):
+        """Create a scheduler with an empty wait queue."""
+        self._context = context
+        self._attempts = attempts
+        self._load = load
+        self._outliers = outliers
+        self.waiting: list[PendingRequest] = []
+        self.engine_orders = containers.BoundedCache(config.MAX_CACHED_ENGINE_ORDERS)  # by group and class
 
     def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
-        key = (int(pending.request.tables * 16), pending.request.cls)
-        order = self.orders.get(key)
-        return self.orders.put(key, self._order(pending, key[0])) if order is None else order
-
-    def _order(self, pending: PendingRequest, group: int) -> list[Engine]:
-        router, is_load = self.context.zone_router, pending.spec.load
-        order = [one for one in self.context.ready_engines() if pending.allows(one.entry)]
-        tiers = {one: router.tier(pending.request.cls, one.entry.zone) for one in order}
-        sign = -1 if is_load else 1  # a load takes the other end: it would stall its group's readers
-        order.sort(key=lambda one: (tiers[one], sign * hashing.stable_hash(group, one.entry.engine)))
-        if order and self.context.settings.gateways > 1:
-            near = sum(tier == tiers[order[0]] for tier in tiers.values())  # of the first choice of zones
-            homes = min(near, max(1, near - config.HOME_ENGINES) if is_load else config.HOME_ENGINES)
-            order.insert(0, order.pop(hashing.stable_hash(self.context.instance_hash, group) % homes))
+        """Return the engines that a request may run on, in its order of preference."""
+        table_group = int(pending.request.tables * config.TABLE_GROUP_SCALE)
+        key = (table_group, pending.request.cls)
+        order = self.engine_orders.get(key)
+        return self.engine_orders.put(key, self._order(pending, table_group)) if order is None else order
+
+    def _order(self, pending: PendingRequest, table_group: int) -> list[Engine]:
+        """Order engines by zone tier, then by a hash; instances spread over the first engines of the order.
+
+        Table loads take the other end of the order, since they block the readers of their tables.
+        """
+        router = self._context.zone_router
+        is_table_load = pending.spec.load
+        order = [engine for engine in self._context.ready_engines() if pending.allows(engine.entry)]
+        tiers = {engine: router.tier(pending.request.cls, engine.entry.zone) for engine in order}
+        hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine) for engine in order}
+        sign = -1 if is_table_load else 1
+        order.sort(key=lambda engine: (tiers[engine], sign * hashes[engine]))
+        if order and self._context.settings.gateways > 1:
+            best_tier_size = sum(tier == tiers[order[0]] for tier in tiers.values())
+            count = config.AFFINITY_ENGINES
+            if is_table_load:
+                count = max(1, best_tier_size - config.AFFINITY_ENGINES)
+            instance_hash = hashing.stable_hash(self._context.instance_hash, table_group)
+            order.insert(0, order.pop(instance_hash % min(best_tier_size, count)))
         return order
 
-    def route(self, pending: PendingRequest) -> tuple[Engine | None, bool]:
-        if not self._attempts.may_go(pending):
-            return None, False
-        tried, candidates = {one.entry.engine for one in pending.attempts}, []
-        needed_mb = max(pending.memory_mb, pending.grant_mb)
-        needs_tables = pending.spec.load or pending.spec.yields
-        limit = self._load.thread_limits[pending.rank]
-        is_short = pending.rank >= config.TOP_RANK and not pending.is_flag_accepted
-        home_limit = min(limit, config.THREAD_LIMIT if is_short else config.HOME_LOAD)
+    def find_route(self, pending: PendingRequest) -> Route:
+        """Return the engine that a request is sent to now; may send a probe, or eject a silent engine."""
+        if not self._attempts.may_attempt(pending):
+            return Route()
+        tried = {attempt.entry.engine for attempt in pending.attempts}
+        is_short = pending.priority >= config.TOP_PRIORITY and not pending.waits_for_memory
+        limit = self._load.thread_limits[pending.priority]
+        first_choice_limit = min(limit, config.THREAD_LIMIT if is_short else config.AFFINITY_LOAD)
         available = filter(Engine.is_available, self.preferred_engines(pending))
-        usable = (engine for engine in available if self._attempts.may_take(pending, engine))
-        for examined, engine in enumerate(islice(usable, config.MAX_EXAMINED), start=1):
+        usable = (engine for engine in available if self._attempts.can_run_on(pending, engine))
+        candidates: list[Candidate] = []
+        for position, engine in enumerate(islice(usable, config.MAX_EXAMINED_ENGINES)):
             if self._outliers.needs_probe(engine, pending):
                 if self._outliers.probe(engine):
-                    return None, True
-                self._outliers.suspect(engine, "silent to a probe")
+                    return Route(may_open=True)
+                self._outliers.eject(engine, "silent to a probe")
                 continue
-            is_full = pending.is_flag_accepted and self._load.free_memory(engine) < needed_mb
-            if is_full or (needs_tables and engine.has_load_of(pending.request.tables)):
+            if self._is_blocked(pending, engine):
                 continue
-            load, added = self._load.engine_load(engine), pending.spec.threads / engine.cores
-            is_avoided = engine.health.on_probation and not (is_short and pending.is_repeatable())
-            is_last = engine.entry.engine in tried or is_avoided
-            if not is_last and load + added <= max(home_limit, 1.01 * added):
-                return engine, False
-            fits = load + added <= max(limit, 1.01 * added)
+            load = self._load.engine_load(engine)
+            added_load = pending.spec.threads / engine.cores
+            new_load = load + added_load
+            idle_limit = config.LIMIT_TOLERANCE * added_load
+            may_test_engine = is_short and pending.is_safely_repeatable()
+            is_avoided = engine.health.on_probation and not may_test_engine
+            is_last_resort = engine.entry.engine in tried or is_avoided
+            if not is_last_resort and new_load <= max(first_choice_limit, idle_limit):
+                return Route(engine)
+            fits = new_load <= max(limit, idle_limit)
             if fits or (is_short and load < config.OVERFULL_LOAD):
-                tier = self.context.zone_router.tier(pending.request.cls, engine.entry.zone)
-                is_far = examined > config.HOME_ENGINES or not fits
-                candidates.append((is_last, tier, is_far, load, engine.entry.engine))
-        if self.context.settings.gateways > config.HOME_ENGINES and len(candidates) > 2:
-            return self.context.engines[selection.better_of_two(self.context.random, candidates, 3)[4]], False
-        return self.context.engines[min(candidates)[4]] if candidates else None, False
-
-    def add(self, pending: PendingRequest) -> None:
-        if len(self.waiting) >= config.MAX_KEPT:
-            self._attempts.give_up(pending)
+                tier = self._context.zone_router.tier(pending.request.cls, engine.entry.zone)
+                is_remote = position >= config.AFFINITY_ENGINES or not fits
+                candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine))
+        return self._select(candidates)
+
+    def _is_blocked(self, pending: PendingRequest, engine: Engine) -> bool:
+        """Return whether an engine lacks memory for a request, or loads the tables that it needs."""
+        needed_mb = max(pending.memory_mb, pending.grant_mb)
+        if pending.waits_for_memory and self._load.free_memory(engine) < needed_mb:
+            return True
+        needs_tables = pending.spec.load or pending.spec.yields
+        return needs_tables and engine.runs_table_load(pending.request.tables)
+
+    def _select(self, candidates: list[Candidate]) -> Route:
+        if not candidates:
+            return Route()
+        has_many_peers = self._context.settings.gateways > config.AFFINITY_ENGINES
+        if has_many_peers and len(candidates) > config.MAX_EXACT_CANDIDATES:
+            best = selection.better_of_two(self._context.random, candidates, Candidate._fields.index("load"))
+        else:
+            best = min(candidates)
+        return Route(self._context.engines[best.engine_id])
+
+    def enqueue(self, pending: PendingRequest) -> None:
+        """Add a request to the wait queue, or answer it if the queue is full."""
+        if len(self.waiting) >= config.MAX_WAITING_REQUESTS:
+            self._attempts.reject_or_fail(pending)
         else:
             self.waiting.append(pending)
 
-    def serve(self, stall: float) -> None:
+    def serve_queue(self, stall: float) -> None:
+        """Send waiting requests and answer those that wait in vain, after a recent stall (s)."""
         self.waiting.sort(key=lambda pending: pending.queue_key)
-        now, router = self.context.now, self.context.zone_router
-        cores = self.context.ready_cores / self.context.settings.gateways
-        work_rate = router.available_rate(now, cores) * config.BUSY_SHARE
-        slowdowns = [min(max(one.run_time.slowdown.value, 1.0), 1.5) for one in self.context.classes]
-        no_room_for: dict[tuple[int, float, int], float] = {}  # least work of its kind that found none
-        kept, work_ahead, tries = [], 0.0, 0
+        now = self._context.now
+        router = self._context.zone_router
+        own_cores = self._context.ready_cores / self._context.settings.gateways
+        work_rate = router.available_rate(now, own_cores) * config.BUSY_SHARE
+        slowdowns = [stats.run_time.slowdown.value for stats in self._context.classes]
+        slowdowns = [min(max(slowdown, 1.0), config.MAX_QUEUE_SLOWDOWN) for slowdown in slowdowns]
+        smallest_unroutable: dict[tuple[int, float, int], float] = {}  # work, of similar requests
+        kept: list[PendingRequest] = []
+        work_ahead = 0.0
+        routed_count = 0
         for pending in self.waiting:
             if pending.is_finished:
                 continue
-            engine, may_wait = None, True
-            is_late = now > pending.final_answer_at(stall) or (pending.attempts and pending.is_spent(now))
-            latest_end = pending.aim_at if pending.aim_at < pending.deadline else pending.deadline
-            time_left = latest_end - pending.run_time * slowdowns[pending.request.cls] - now
-            if tries < config.MAX_QUEUE_TRIES and not is_late and self._attempts.has_turn(pending):
-                tries += 1
-                engine, may_wait = self._route(pending, no_room_for)
-            is_exempt = pending.rank >= config.TOP_RANK or pending.is_flag_accepted
-            is_behind = not is_exempt and work_ahead > max(0.0, time_left) * work_rate  # would miss its aim
-            is_hopeless = is_behind and not may_wait
-            is_too_late = is_late or (time_left < 0 and not may_wait)
-            if engine is not None:
-                self._attempts.send(pending, engine)
-            elif is_hopeless or router.is_saturated(now, pending.request.cls, pending.work) or is_too_late:
-                self._attempts.give_up(pending)
+            is_late = now > pending.final_answer_at(stall)
+            is_late = is_late or (pending.attempts and pending.is_repeat_forbidden(now))
+            run_time = pending.run_time * slowdowns[pending.request.cls]
+            time_left = min(pending.target_at, pending.deadline) - run_time - now
+            route = Route(may_open=True)
+            if routed_count < config.MAX_ROUTED_REQUESTS and not is_late and self._attempts.has_turn(pending):
+                routed_count += 1
+                route = self._find_route_once(pending, smallest_unroutable)
+            if route.engine is not None:
+                self._attempts.send(pending, route.engine)
+                continue
+            is_exempt = pending.priority >= config.TOP_PRIORITY or pending.waits_for_memory
+            misses_target = not is_exempt and work_ahead > max(0.0, time_left) * work_rate
+            is_hopeless = misses_target and not route.may_open
+            # The router is also asked for a late request: it notices by the call that time has passed.
+            is_rejected = is_hopeless or router.is_saturated(now, pending.request.cls, pending.work)
+            if is_rejected or is_late or (time_left < 0 and not route.may_open):
+                self._attempts.reject_or_fail(pending)
             else:
                 kept.append(pending)
                 work_ahead += pending.work
         self.waiting = kept
 
-    def _route(self, pending: PendingRequest, no_room_for: dict) -> tuple[Engine | None, bool]:
-        is_plain = not pending.attempts and not pending.is_flag_accepted
-        kind = (pending.request.cls, pending.request.tables, pending.rank)
-        if is_plain and pending.work >= no_room_for.get(kind, inf):
-            return None, False  # sends only fill engines
-        route = self.route(pending)
-        if is_plain and route == (None, False):
-            no_room_for[kind] = pending.work
+    def _find_route_once(self, pending: PendingRequest, smallest_unroutable: dict) -> Route:
+        """Return a route, without a search where a similar, smaller request found none in this pass."""
+        is_comparable = not pending.attempts and not pending.waits_for_memory
+        key = (pending.request.cls, pending.request.tables, pending.priority)
+        if is_comparable and pending.work >= smallest_unroutable.get(key, inf):
+            return Route()  # engines only fill up during a pass
+        route = self.find_route(pending)
+        if is_comparable and route == Route():
+            smallest_unroutable[key] = pending.work
         return route
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -142,7 +142,7 @@
 
     def report_load(self, engine: int, memory_used: float = 0.0, cpu: float = 0.0) -> None:
         """Let an engine report its load, as shares of what it has, in a batch of its own."""
-        self.controller.load.take_report(self.engine(engine), (0.0, cpu, 0.0, memory_used))
+        self.controller.load.apply_report(self.engine(engine), (0.0, cpu, 0.0, memory_used))
         self.controller.load.start_batch()  # as at the start of a batch
 
     def pending_request(self, request_id: int):
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -74,7 +74,7 @@
     driver.controller.load.start_batch()
     assert (
         driver.controller.load.engine_load(driver.controller.engines[1]) < 2
-        and driver.controller.engines[1].warmth(driver.now) < 0.5
+        and driver.controller.engines[1].capacity_share(driver.now) < 0.5
     )
 
 
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -8,15 +8,15 @@
 
 from applevale import api
 from applevale.estimators import DecayingMean, EstimateCorrection
-from applevale.policy.admission import flag_price
+from applevale.policy.admission import memory_risk_price
 from applevale.policy.config import MAX_RATIO
 
 
 def test_the_price_grows_with_uncertainty_and_falls_with_misses():
-    assert flag_price(1.0, 0) == pytest.approx(1.0)
-    assert flag_price(0.5, 0) == pytest.approx(2.0)
-    assert flag_price(0.5, 5) < flag_price(0.5, 0)
-    assert flag_price(1.0, 100) == pytest.approx(0.2)
+    assert memory_risk_price(1.0, 0) == pytest.approx(1.0)
+    assert memory_risk_price(0.5, 0) == pytest.approx(2.0)
+    assert memory_risk_price(0.5, 5) < memory_risk_price(0.5, 0)
+    assert memory_risk_price(1.0, 100) == pytest.approx(0.2)
 
 
 def test_a_miss_flags_later_requests_of_its_kind_for_a_while():
@@ -24,7 +24,7 @@
     request_id, _ = driver.submit(1, work=2.0, memory=3000.0)
     request = driver.pending_request(request_id)
     admission = driver.controller.admission
-    kind = admission.kind_of(request)
+    kind = admission.similarity_key(request)
     features = (1.0, 0.1, 0.1, 0.1, 0.0)
     admission.learn(request, driver.engine(1), True)
     assert admission.predictor.predict(driver.now + 1, kind, features) == 1.0
@@ -34,11 +34,11 @@
 def test_a_flagged_request_waits_for_memory_and_is_rejected_at_its_deadline():
     driver = PolicyDriver(engines=1)
     engine = driver.engine(1)
-    driver.controller.context.memory_trouble_at = driver.now
+    driver.controller.context.memory_pressure_at = driver.now
     driver.controller.admission.predictor.model.weights = [8.0, 0.0, 0.0, 0.0, 0.0]
     driver.report_load(1, memory_used=0.95)
-    engine.flag_quota.quota = 5.0
-    engine.flag_quota.next_refill = driver.now + 3.0
+    engine.memory_risk_quota.quota = 5.0
+    engine.memory_risk_quota.next_refill = driver.now + 3.0
     request_id, actions = driver.submit(1, work=3.0, memory=4000.0)
     assert not actions_of(api.Send, actions)
     assert not actions_of(api.Reject, actions)
@@ -96,7 +96,7 @@
     tenants = (api.TenantSpec("a", 2.0), api.TenantSpec("b", 100.0))
     driver = PolicyDriver(tenants=tenants, over_share_worth=0.1)
     request_ids = [driver.submit(tenant=0)[0] for _ in range(6)]
-    worths = [driver.pending_request(request_id).worth for request_id in request_ids]
+    worths = [driver.pending_request(request_id).value for request_id in request_ids]
     assert 1.0 in worths
     assert worths[-1] == pytest.approx(0.1)
 
@@ -122,22 +122,22 @@
     driver = PolicyDriver()
     driver.submit(1, work=3.0)
     request_id, _ = driver.submit(0, work=0.05)
-    rank = driver.pending_request(request_id).rank
+    rank = driver.pending_request(request_id).priority
     driver.submit(1, work=100000.0)
     driver.submit(0, work=1e-6)
     later_id, _ = driver.submit(0, work=0.05)
-    assert driver.pending_request(later_id).rank == rank
+    assert driver.pending_request(later_id).priority == rank
     assert rank > 0
 
 
 def test_low_ranks_find_less_room_only_as_the_engines_fill():
     driver = PolicyDriver(engines=4, gateways=100)
-    driver.controller.load.start_pass()
+    driver.controller.load.update_thread_limits()
     room_when_idle = driver.controller.load.thread_limits
     for _ in range(3):
         for engine in range(1, 5):
             driver.report_load(engine, cpu=1.0)
-    driver.controller.load.start_pass()
+    driver.controller.load.update_thread_limits()
     room_when_full = driver.controller.load.thread_limits
     assert room_when_idle[0] == room_when_idle[1] == room_when_idle[2]
     assert room_when_full[0] < room_when_full[1] < room_when_full[2] < room_when_full[3]
@@ -155,7 +155,7 @@
             interval = gateways / (30.0 * load)
             for _ in range(200):
                 driver.controller.context.now += interval
-                worths_of_load.append(driver.controller.admission.worth_factor(0))
+                worths_of_load.append(driver.controller.admission.value_factor(0))
     assert sum(worths[1.0]) / len(worths[1.0]) > 0.9
     assert sum(worths[4.0]) / len(worths[4.0]) < 0.45
 
