--- a/applevale/api/__init__.py
+++ b/applevale/api/__init__.py
@@ -1,8 +1,8 @@
-"""The types that `applevale.policy.AdmissionController` takes and gives. All times are seconds (float).
+"""The interface of the decision module, `applevale.policy`. All times are in seconds.
 
-`AdmissionController(settings, seed).handle(now, events) -> actions` is the whole surface of the decision
-module. There are no decisions in this package: only the settings of a deployment, what can happen (events),
-what can be done (actions), and the router that knows of zones.
+The decision module is used by one call: `AdmissionController(settings, seed).handle(now, events)` returns
+actions. This package has the types of that call and takes no decision itself: the settings of a deployment,
+events (what has happened), actions (what the caller must do), and the base of the zone routers.
 """
 
 from .actions import (
--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision module asks to be done. All times are seconds (float)."""
+"""Actions: what the decision module asks its caller to do. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
     request: int
     engine: int
-    timeout: float = 0.0  # 0: as long as the client waits
-    announce: bool = False  # the engine looks less loaded than most: peers should hear of this send
+    timeout: float = 0.0  # 0 means as long as the client waits
+    announce: bool = False  # whether to tell peers, since the engine looks less loaded than most
 
 
 @dataclass(frozen=True)
 class Terms:
-    """Set memory and priority for the request's attempts."""
+    """Set the priority and the memory of the attempts of a request."""
 
     request: int
     priority: int
-    memory_mb: float = 0.0  # 0: the engine chooses
+    memory_mb: float = 0.0  # 0 means that the engine chooses
 
 
 @dataclass(frozen=True)
 class Reject:
-    """Answer a request as rejected."""
+    """Reject a request: the client may send it again."""
 
     request: int
-    retry_after: float = 0.0  # 0: no advice
+    retry_after: float = 0.0  # delay before a retry; 0 means no advice
 
 
 @dataclass(frozen=True)
 class Fail:
-    """Answer a request as failed."""
+    """Fail a request, which may have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True)
 class Cancel:
-    """Cancel an attempt."""
+    """Cancel an attempt; its outcome is reported all the same."""
 
     request: int
     attempt: int
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """Ask an engine for its load."""
+    """Ask an engine for a load report."""
 
     engine: int
 
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Send a `Timer` event with this token after a time."""
+    """Submit a `Timer` event with this token after a delay."""
 
     after: float
     token: int
@@ -64,28 +64,28 @@
 
 @dataclass(frozen=True)
 class Log:
-    """Log a line."""
+    """Write a line to the log."""
 
     text: str
 
 
 @dataclass(frozen=True)
 class Subscribe:
-    """Subscribe to the list of engines, or end the subscription."""
+    """Subscribe to the engine list, or end the subscription."""
 
     active: bool = True
 
 
 @dataclass(frozen=True)
 class FetchList:
-    """Call for the list of engines once."""
+    """Fetch the engine list once."""
 
 
 @dataclass(frozen=True)
 class SendPeerMessage:
     """Send a message to another instance."""
 
-    peer: int | None  # None: to all
+    peer: int | None  # None means all instances
     body: bytes
 
 
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -1,4 +1,4 @@
-"""Events: what can happen, as the decision module is told of it. All times are seconds (float)."""
+"""Events: what has happened, as input of the decision module. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class State(Enum):
-    """The state of an engine in the list."""
+    """The state of an engine in the engine list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -18,64 +18,68 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # the engine answered with an error; it may have run
-    FULL = "full"  # turned away unseen
+    ERROR = "error"  # error reply of the engine, which may have executed the request
+    FULL = "full"  # rejected by an overloaded engine, without execution
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"  # never sent
+    MOOT = "moot"  # withdrawn or expired before its execution
 
 
+# Results of attempts that were certainly not executed, and of those that may be in execution still.
 NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
 MAY_RUN_ON = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})
 
 
 @dataclass(frozen=True)
 class EngineEntry:
-    """One engine of the list; zone and kind are indices into the settings."""
+    """One engine of the engine list; zone and kind are indices into the settings."""
 
     engine: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    size: float = 1.0
+    size: float = 1.0  # number of cores, if the settings state none for its kind
     state: State = State.READY
-    started: float = 0.0  # Unix time of its last start; 0: long ago
+    started: float = 0.0  # Unix time of its last start; 0 means long ago
 
 
 @dataclass(frozen=True)
 class EngineList:
-    """A change of the list of engines, or a failure to get it."""
+    """The engine list, a change of it, or a failure to get it."""
 
     entries: tuple[EngineEntry, ...] = ()
-    whole: bool = False  # replaces the old list; otherwise changed entries only
-    failed: bool = False  # a call failed or the subscription dropped; there are no entries
+    whole: bool = False  # whether the entries replace the old list, or are changed ones only
+    failed: bool = False  # whether a call failed or the subscription ended; then there are no entries
 
 
 @dataclass(frozen=True)
 class Request:
-    """A client's request has come in."""
+    """A request of a client has come in."""
 
-    request: int  # its id
-    cls: int  # index of its class
-    tenant: int = 0  # index of its tenant
-    key: int = 0  # of its order; 0: none
-    ttl: float = 0.0  # until its client gives up
-    work: float = 0.0  # estimated, seconds of one thread; 0: none
-    memory_mb: float = 0.0  # estimated; 0: none
-    tables: float = 0.0  # the group of tables that it reads
-    client_retry: bool = False
-    order_unknown: bool = False  # it may have come before one of its key that was handed in earlier
+    request: int  # id
+    cls: int  # index of the class in the settings
+    tenant: int = 0  # index of the tenant in the settings
+    key: int = 0  # order key; 0 means none
+    ttl: float = 0.0  # time until the client gives up
+    work: float = 0.0  # estimated time on one core; 0 means no estimate
+    memory_mb: float = 0.0  # estimated memory; 0 means no estimate
+    tables: float = 0.0  # number of the table group that the request uses
+    client_retry: bool = False  # whether the client says that it sends the request again
+    order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
 
 
 @dataclass(frozen=True)
 class AnswerSent:
-    """The final answer has been sent whole, or no one is there to read it; serves `Settings.order_gap`."""
+    """The final answer to a request with an order key has been sent, or its client is gone.
+
+    It ends the wait of the next request of the key; see `Settings.order_gap`.
+    """
 
     request: int
-    key: int
-    delivery_time: float  # from now until its client surely has it
+    key: int  # order key
+    delivery_time: float  # time from now until the client has the answer in any case
 
 
 @dataclass(frozen=True)
@@ -87,15 +91,15 @@
     engine: int
     result: Result
     duration: float = 0.0
-    final: bool = False  # the request is over with it
-    work: float = 0.0  # needed, seconds of one thread; 0: unknown
-    memory_mb: float = 0.0  # needed; 0: unknown
-    report: tuple[float, ...] = ()  # of the engine's load, by `Settings.report_columns`
+    final: bool = False  # whether it ends the request
+    work: float = 0.0  # time on one core that was used; 0 if unknown
+    memory_mb: float = 0.0  # memory that was used; 0 if unknown
+    report: tuple[float, ...] = ()  # load report, in the order of `Settings.report_columns`
 
 
 @dataclass(frozen=True)
 class Started:
-    """A stream flows: the request is bound to this attempt."""
+    """An attempt streams rows to the client, so that no other attempt can answer the request."""
 
     request: int
     attempt: int
@@ -103,22 +107,22 @@
 
 
 class NoteKind(Enum):
-    """What a note is about."""
+    """The subject of a `Note`."""
 
-    PROGRESS = 1
-    SPILLS = 2
-    WAITS = 3
+    PROGRESS = 1  # share of the work that is done
+    SPILLS = 2  # lack of memory, in MB, for which the attempt spills to disk
+    WAITS = 3  # cause of a wait: 1 for memory, 2 for a table load
 
 
 @dataclass(frozen=True)
 class Note:
-    """News of an attempt that is in flight."""
+    """A status report on an attempt in flight."""
 
     request: int
     attempt: int
     engine: int
     kind: NoteKind
-    value: float = 0.0  # share done, missing MB, or what it waits for (1: memory, 2: a load)
+    value: float = 0.0  # as described at `NoteKind`
 
 
 @dataclass(frozen=True)
@@ -133,7 +137,7 @@
 
 @dataclass(frozen=True)
 class Timer:
-    """A timer that was set has run out."""
+    """A timer that was set has fired."""
 
     token: int
 
@@ -155,18 +159,18 @@
 
 @dataclass(frozen=True)
 class FleetSize:
-    """From now on so many instances share the fleet's budgets, in place of the settings' number."""
+    """The number of instances that share the fleet's budgets, in place of the one in the settings."""
 
     gateways: int
 
 
 @dataclass(frozen=True)
 class PeerLoadReport:
-    """What another instance has reported of an engine."""
+    """What another instance has sent to an engine, and the load report that it got from there."""
 
     engine: int
-    report: tuple[float, ...] = ()  # that it had from the engine, as in an outcome
-    threads: int = 0  # that it has just sent there
+    report: tuple[float, ...] = ()  # load report, as in an outcome
+    threads: int = 0  # threads of the attempts that it has just sent there
 
 
 Event = (
--- a/applevale/api/routing.py
+++ b/applevale/api/routing.py
@@ -1,4 +1,4 @@
-"""The router: which zones may take a request, and which come first."""
+"""The base of the routers, which decide on the zones that may get a request and on their order."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Router:
-    """A router that makes no difference among zones. `zones.zone_router.ZoneRouter` is the other one.
+    """A router that treats all zones alike; `zones.zone_router.ZoneRouter` tells them apart.
 
-    `request_class` is an index into the settings' classes; work is in seconds on one core.
+    `request_class` is an index into the classes of the settings. Work is in seconds on one core.
     """
 
     def tier(self, request_class: int, zone: int) -> int:
@@ -18,22 +18,22 @@
         return 0
 
     def may_take(self, now: float, request_class: int, zone: int, work: float) -> bool:
-        """Return whether a zone may take this much work now."""
+        """Return whether a zone may get this much work now."""
         return True
 
     def is_saturated(self, now: float, request_class: int, work: float) -> bool:
-        """Return whether the home zone is impaired and no zone may take the work, so that it is rejected."""
+        """Return whether to reject work, since the home zone is impaired and no zone may take it."""
         return False
 
     def available_rate(self, now: float, cores: float) -> float:
-        """Return the work a second that finds room for this instance; `cores`: its part of all ready ones."""
+        """Return the work per second that this instance may send; `cores` is its share of all ready cores."""
         return cores
 
     def on_engine_list(self, now: float, engines: Iterable[tuple[EngineEntry, float]]) -> None:
-        """Take note of the ready engines and their cores."""
+        """Record the ready engines and their numbers of cores."""
 
     def on_send(self, now: float, zone: int, work: float) -> None:
-        """Take note of an attempt that was sent to a zone."""
+        """Record an attempt that was sent to a zone."""
 
     def on_result(self, now: float, entry: EngineEntry, result: Result) -> None:
-        """Take note of the result of an attempt or a probe."""
+        """Record the result of an attempt or a probe."""
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, as the decision module takes them. All times are seconds (float)."""
+"""The settings of a deployment, as input of the decision module. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -13,59 +13,59 @@
 
 
 class SettingsError(AppleValeError, ValueError):
-    """A setting is missing or makes no sense; the text names its key."""
+    """A setting is missing or invalid; the text names its key."""
 
 
 class Repeat(Enum):
     """Whether a request of a class may be executed more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"  # engines drop repeats by an idempotency key
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # yes: a repetition is harmless
+    KEYED = "keyed"  # yes: engines recognize repetitions by an idempotency key
+    UNSAFE = "unsafe"  # no
 
 
 @dataclass(frozen=True)
 class ClassSpec:
-    """One class of requests: its aim, its worth, and the rules of its attempts."""
+    """One class of requests: its target latency, its value, and the rules of its attempts."""
 
     name: str = ""
-    aim: float = 1.0  # an answer within this time (plus the stretch) earns full worth
-    aim_stretch: float = 0.0  # times work / threads, added to the aim
-    deadline: float = 4.0
-    worth: float = 1.0
-    late_share: float = 0.0  # share of the worth that an answer past its aim earns
+    aim: float = 1.0  # target latency: an answer within this time and the stretch earns its full value
+    aim_stretch: float = 0.0  # factor to work / threads, which is added to the target latency
+    deadline: float = 4.0  # timeout of requests that state none
+    worth: float = 1.0  # value of an answer in time
+    late_share: float = 0.0  # share of the value that an answer after the target latency earns
     repeat: Repeat = Repeat.SAFE
-    group: str = "all"  # keyed classes only: which engines drop repeats, one of REPEAT_GROUPS
-    repeat_window: float = 0.0  # keyed classes only: how long engines remember a key
-    ordered: bool = False  # requests of one key are executed in the order of arrival
-    zones: frozenset[int] | None = None  # the only zones allowed; None: all
-    kinds: frozenset[int] | None = None  # the only machine kinds allowed; None: all
+    group: str = "all"  # engines that recognize a repetition (KEYED only), one of REPEAT_GROUPS
+    repeat_window: float = 0.0  # time for which engines recognize a repetition (KEYED only)
+    ordered: bool = False  # whether requests of one order key are executed in the order of arrival
+    zones: frozenset[int] | None = None  # zones that are allowed; None means all
+    kinds: frozenset[int] | None = None  # machine kinds that are allowed; None means all
     stream: bool = False
-    threads: int = 1  # on which a request runs
-    load: bool = False  # holds its table group on its engine while it runs
-    yields: bool = False  # stands still while a load holds its group
+    threads: int = 1  # threads of one request
+    load: bool = False  # table load: locks its table group on its engine while it runs
+    yields: bool = False  # whether requests wait while a table load locks their table group
 
 
 @dataclass(frozen=True)
 class KindSpec:
-    """One kind of engine machines."""
+    """One kind of machines that engines run on."""
 
     name: str = ""
-    cores: float = 0.0  # 0: unknown
-    memory_mb: float = 0.0  # 0: unknown
+    cores: float = 0.0  # 0 if unknown
+    memory_mb: float = 0.0  # 0 if unknown
 
 
 @dataclass(frozen=True)
 class TenantSpec:
-    """One tenant and its share."""
+    """One tenant and its quota."""
 
     name: str = ""
-    quota_rps: float = 0.0  # requests a second over all instances; 0: no share stated
+    quota_rps: float = 0.0  # requests per second to all instances together; 0 means no quota
 
 
 @dataclass(frozen=True)
 class Settings:
-    """All that the decision module knows of a deployment.
+    """What the decision module knows of a deployment.
 
     Raises:
         SettingsError: A value is missing, negative or not finite; the text begins with its key.
@@ -76,40 +76,42 @@
     tenants: tuple[TenantSpec, ...] = ()
     me: int = 0  # number of this instance
     gateways: int = 1  # number of instances
-    zone: int = 0  # of this instance
-    discovery_push: bool = True  # the list of engines is pushed; else it is subscribed to
+    zone: int = 0  # zone of this instance
+    discovery_push: bool = True  # whether the engine list is pushed without a subscription
     tick: float = 0.005
     answer_slack: float = 0.02
-    ask_within: float = 10.0  # within which a call for the list must be answered
-    drain_grace: float = 1.0  # within which nothing new may reach an engine that drains
-    cold_share: float = 0.3  # of its capacity that an engine has at its start
-    warm_up: float = 15.0  # from an engine's start until its full capacity
-    fall: float = 1.5  # the window in which a cold engine can be overloaded
-    fall_multiple: float = 2.0  # of its present capacity that a cold engine bears in that window
-    order_pause: float = 0.0  # after an attempt that may run on, before the next request of its key
-    order_gap: float = 0.0  # from any end of a request to the next of its key, after its `AnswerSent`
-    budget_share: float | None = None  # of requests that may have a further attempt; None: no budget
-    budget_free: float = 0.0  # further attempts allowed beside that share
-    budget_span: float = 5.0  # the window of the budget
+    ask_within: float = 10.0  # time limit of a call for the engine list
+    drain_grace: float = 1.0  # time after which a draining engine must get nothing new
+    cold_share: float = 0.3  # share of its capacity that an engine has at its start
+    warm_up: float = 15.0  # time from the start of an engine to its full capacity
+    fall: float = 1.5  # window in which the work for a cold engine is limited
+    fall_multiple: float = 2.0  # limit of that work, as a multiple of the engine's present capacity
+    order_pause: float = 0.0  # pause of an order key after an attempt that may still be in execution
+    order_gap: float = (
+        0.0  # pause of an order key after each request; the key also waits for its `AnswerSent`
+    )
+    budget_share: float | None = None  # share of requests that may be sent again; None means no limit
+    budget_free: float = 0.0  # further attempts that are allowed in addition to that share
+    budget_span: float = 5.0  # window of both limits
     try_limit: int = 3  # attempts of one request
-    max_open: int = 20000
+    max_open: int = 20000  # requests without a final answer
     max_retry_after: float = 1.0
-    may_cancel: bool = False
-    may_probe: bool = False
-    probe_price: float = 0.0  # points of the result for one probe a request
-    peer_price: float = 0.0  # points of the result for 256 bytes delivered to peers a request
-    may_tell_peers: bool = False
-    retry_after: bool = False  # a rejection may carry the time to come back
-    parallel_tries: bool = False  # two attempts of a request may run at a time
-    over_share_worth: float = 1.0  # share of the worth of what a tenant sends beyond its share
-    report_columns: tuple[str, ...] = ()  # of active, waiting, cpu, memory_used, disk_busy, ...
-    report_how: str = "none"  # load reports come with "answers", by "probe" or not at all ("none")
-    memory_heeded: bool = False  # engines heed the memory in `Terms`
-    ranks_heeded: bool = False  # engines heed the priority in `Terms`
-    tells_cost: bool = False  # answers tell the work and memory that were needed
-    progress: float = 0.0  # between two notes of an attempt's progress; 0: there are none
-    largest_share: float = 1.0  # of an engine's memory that one request can get
-    when_short: str = "wait"  # what an engine does that is short of memory
+    may_cancel: bool = False  # whether attempts can be cancelled
+    may_probe: bool = False  # whether engines can be probed
+    probe_price: float = 0.0  # points of the result that one probe per request costs
+    peer_price: float = 0.0  # points of the result that 256 bytes to peers per request cost
+    may_tell_peers: bool = False  # whether messages to other instances are allowed
+    retry_after: bool = False  # whether a rejection may advise a delay before a retry
+    parallel_tries: bool = False  # whether two attempts of a request may be in flight at a time
+    over_share_worth: float = 1.0  # factor to the value of requests beyond their tenant's quota
+    report_columns: tuple[str, ...] = ()  # load reports: active, waiting, cpu, memory_used, disk_busy, ...
+    report_how: str = "none"  # what carries load reports: "answers", "probe", or "none"
+    memory_heeded: bool = False  # whether engines honor the memory in `Terms`
+    ranks_heeded: bool = False  # whether engines honor the priority in `Terms`
+    tells_cost: bool = False  # whether answers state the work and the memory that were used
+    progress: float = 0.0  # time between progress reports of an attempt; 0 means that there are none
+    largest_share: float = 1.0  # largest share of an engine's memory that one request can get
+    when_short: str = "wait"  # what engines do when they lack memory
 
     def __post_init__(self) -> None:
         """Check all values."""
@@ -134,7 +136,7 @@
     if spec.aim <= 0 or spec.deadline <= 0 or spec.threads < 1:
         raise SettingsError(f"{place}: aim, deadline and threads must be above 0")
     if spec.group not in REPEAT_GROUPS:
-        raise SettingsError(f"{place}.group: all, zone or cell, not {spec.group!r}")
+        raise SettingsError(f"{place}.group: must be all, zone or cell, not {spec.group!r}")
 
 
 def _check_numbers(holder: object, prefix: str) -> None:
@@ -142,4 +144,4 @@
         value = getattr(holder, item.name)
         is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
         if is_number and not (isfinite(value) and value >= 0):
-            raise SettingsError(f"{prefix}{item.name}: a number of 0 or more is needed, not {value!r}")
+            raise SettingsError(f"{prefix}{item.name}: must be a finite number of 0 or more, not {value!r}")
