--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -87,10 +87,8 @@
     fall: float = 1.5  # window in which the work for a cold engine is limited
     fall_multiple: float = 2.0  # limit of that work, as a multiple of the engine's present capacity
     order_pause: float = 0.0  # pause of an order key after an attempt that may still be in execution
-    order_gap: float = (
-        0.0  # pause of an order key after each request; the key also waits for its `AnswerSent`
-    )
-    budget_share: float | None = None  # share of requests that may be sent again; None means no limit
+    order_gap: float = 0.0  # pause of an order key after a request, which also lasts until its `AnswerSent`
+    budget_share: float | None = None  # share of requests with a further attempt; None means no limit
     budget_free: float = 0.0  # further attempts that are allowed in addition to that share
     budget_span: float = 5.0  # window of both limits
     try_limit: int = 3  # attempts of one request
@@ -104,7 +102,7 @@
     retry_after: bool = False  # whether a rejection may advise a delay before a retry
     parallel_tries: bool = False  # whether two attempts of a request may be in flight at a time
     over_share_worth: float = 1.0  # factor to the value of requests beyond their tenant's quota
-    report_columns: tuple[str, ...] = ()  # load reports: active, waiting, cpu, memory_used, disk_busy, ...
+    report_columns: tuple[str, ...] = ()  # columns: active, waiting, cpu, memory_used, disk_busy, ...
     report_how: str = "none"  # what carries load reports: "answers", "probe", or "none"
     memory_heeded: bool = False  # whether engines honor the memory in `Terms`
     ranks_heeded: bool = False  # whether engines honor the priority in `Terms`
--- a/applevale/circuit_breaker.py
+++ b/applevale/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker: what failures in a row lead to. It reads no clock."""
+"""A circuit breaker, which takes a failing resource out of use for a time. It reads no clock."""
 
 from __future__ import annotations
 
@@ -6,40 +6,55 @@
 
 
 class CircuitBreaker:
-    """Opens for times that double; after one it is on probation until a success.
+    """Opens for a time that doubles with each opening, and resets at a success.
 
-    `open_until` is the end (s) of the last time for which it was open.
+    While it is open, the resource should not be used.
+
+    Attributes:
+        backoff: Gives the length of the next opening.
+        open_until: Time (s) at which the last opening ends.
+        on_probation: Whether the resource has yet to succeed after a failure. The owner sets this, and a
+            success clears it.
+        consecutive_failures: Failures since the last success.
     """
 
     def __init__(self, open_time: float, max_open_time: float):
-        """Let it open for `open_time` seconds first, and for `max_open_time` at most."""
+        """Create a closed circuit breaker.
+
+        Args:
+            open_time: Length of the first opening, in seconds.
+            max_open_time: Limit of the length of an opening, in seconds.
+        """
         self.backoff = ExponentialBackoff(open_time, max_open_time)
         self.open_until = 0.0
         self.on_probation = False
         self.consecutive_failures = 0
 
     def is_open(self, now: float) -> bool:
-        """Return whether it is open."""
+        """Return whether it is open at `now` (s)."""
         return self.open_until > now
 
     def record_failure(self, is_conclusive: bool, max_failures: int) -> bool:
-        """Count a failure; return whether it, or `max_failures` in a row, are a reason to open."""
+        """Record a failure; return whether the circuit breaker should be opened.
+
+        That is so after a conclusive failure, or after `max_failures` failures in a row.
+        """
         self.consecutive_failures += 1
         return is_conclusive or self.consecutive_failures >= max_failures
 
     def open(self, now: float) -> bool:
-        """Open it; return whether that is the first time since a success."""
+        """Open it at `now` (s); return whether that is the first opening since a success."""
         is_first = self.backoff.is_initial
         self.open_until = now + self.backoff.advance()
         return is_first
 
     def record_success(self) -> None:
-        """End the probation; a time for which it is open still runs out."""
+        """End the probation and reset the backoff; an opening still lasts until its end."""
         self.on_probation = False
         self.consecutive_failures = 0
         self.backoff.reset()
 
     def close(self) -> None:
-        """Begin anew, as if there had been no failure."""
+        """Close it, and forget all failures."""
         self.open_until = 0.0
         self.record_success()
--- a/applevale/containers.py
+++ b/applevale/containers.py
@@ -1,6 +1,6 @@
-"""Small containers: a cache and a set that are bounded, sets, queues and reservations by key.
+"""Small containers: expiring keys, a bounded cache, sets by key, serial queues and reservations.
 
-They know no request, engine or setting, and none of them reads a clock.
+They are independent of requests, engines and settings, and read no clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ExpiringKeys:
-    """Keys that are kept until they expire; past `capacity`, the one added first is dropped."""
+    """A set of keys that expire; beyond `capacity` keys, the one that was added first is dropped."""
 
     def __init__(self, capacity: int):
         """Create an empty set."""
@@ -22,19 +22,19 @@
         self.expiry: dict[Hashable, float] = {}
 
     def add(self, key: Hashable, expires_at: float) -> None:
-        """Add a key, or renew it."""
+        """Add a key that expires at a time (s), or renew it."""
         self.expiry.pop(key, None)
         self.expiry[key] = expires_at
         while len(self.expiry) > self.capacity:
             del self.expiry[next(iter(self.expiry))]
 
     def is_valid(self, key: Hashable, now: float) -> bool:
-        """Return whether the key was added and has not expired."""
+        """Return whether a key is in the set and has not expired at `now` (s)."""
         return self.expiry.get(key, 0.0) > now
 
 
 class BoundedCache(Generic[Item]):
-    """Values by key; it begins anew when `capacity` is reached."""
+    """A cache of values by key, which is emptied when it has `capacity` values."""
 
     def __init__(self, capacity: int):
         """Create an empty cache."""
@@ -42,34 +42,34 @@
         self.values: dict[Hashable, Item] = {}
 
     def get(self, key: Hashable) -> Item | None:
-        """Return the value of a key; None if there is none."""
+        """Return the value of a key, or None."""
         return self.values.get(key)
 
     def put(self, key: Hashable, value: Item) -> Item:
-        """Keep a value, and return it."""
+        """Store a value, and return it."""
         if len(self.values) >= self.capacity:
             self.values.clear()
         self.values[key] = value
         return value
 
     def clear(self) -> None:
-        """Drop all values."""
+        """Remove all values."""
         self.values.clear()
 
 
 class KeyedSets:
-    """One set of values for each key; an empty one takes no space."""
+    """A set of values for each key; keys with an empty set are not stored."""
 
     def __init__(self):
-        """Create it without a set."""
+        """Create it without keys."""
         self.sets: dict[Hashable, set[Hashable]] = {}
 
     def __len__(self) -> int:
-        """Return the number of sets that are not empty."""
+        """Return the number of keys that have values."""
         return len(self.sets)
 
     def __contains__(self, key: Hashable) -> bool:
-        """Return whether the set of a key has any value."""
+        """Return whether a key has values."""
         return key in self.sets
 
     def add(self, key: Hashable, value: Hashable) -> None:
@@ -77,7 +77,7 @@
         self.sets.setdefault(key, set()).add(value)
 
     def discard(self, key: Hashable, value: Hashable) -> None:
-        """Remove a value from the set of a key, if it is there."""
+        """Remove a value from the set of a key, if it is in there."""
         if key in self.sets:
             self.sets[key].discard(value)
             if not self.sets[key]:
@@ -85,13 +85,13 @@
 
 
 class TurnForecast(NamedTuple):
-    """What is expected of an item's turn, in seconds.
+    """The expected turn of an item of a queue; all times are in seconds.
 
     Attributes:
-        duration: The length of its turn.
-        needed: The time that it should have from the start of its turn to its deadline.
-        deadline: The time at which it must have ended.
-        running_for: For how long it has had its turn; None if it waits.
+        duration: Expected length of the turn.
+        needed: Time from the start of the turn to the deadline that the item should have at least.
+        deadline: Time at which the item must have ended.
+        running_for: Time since the start of the turn; None if the item waits.
     """
 
     duration: float
@@ -101,14 +101,20 @@
 
 
 class SerialQueues(Generic[Item]):
-    """Queues by key whose items get their turns one by one.
+    """One queue of items for each key; only the first item of a queue may run.
 
-    The first item of a queue has its turn unless its key is paused, or blocked by an item that was dropped.
-    Keys without items, pauses and blocks take no space. Items that have ended leave from the front.
+    A key can be paused until a time, and blocked until its blockers are discarded. An item leaves its queue
+    once it has ended and is the first one. Keys without items, pauses and blocks are not stored.
+
+    Attributes:
+        has_ended: Returns whether an item has ended.
+        queues: Items by key.
+        paused_until: Ends of pauses, in seconds, by key.
+        blocks: Blockers by key.
     """
 
     def __init__(self, has_ended: Callable[[Item], bool]):
-        """Create it without a queue; `has_ended` tells whether an item needs its turn no more."""
+        """Create it without queues; `has_ended` returns whether an item has ended."""
         self.has_ended = has_ended
         self.queues: dict[Hashable, deque[Item]] = {}
         self.paused_until: dict[Hashable, float] = {}
@@ -123,13 +129,13 @@
         return len(self.queues.get(key, ()))
 
     def has_turn(self, key: Hashable, item: Item, now: float) -> bool:
-        """Return whether an item has its turn."""
+        """Return whether an item may run at `now` (s)."""
         self.drop_ended(key)
         is_first = self.queues.get(key, (None,))[0] is item and key not in self.blocks
         return is_first and self.paused_until.get(key, -inf) <= now
 
     def drop_ended(self, key: Hashable) -> None:
-        """Drop items that have ended from the front of a queue."""
+        """Remove items that have ended from the front of a queue."""
         queue = self.queues.get(key)
         while queue and self.has_ended(queue[0]):
             queue.popleft()
@@ -137,16 +143,23 @@
             self.queues.pop(key, None)
 
     def pause(self, key: Hashable, until: float, blocker: Hashable = None) -> None:
-        """Pause a key, which can only be made longer, and let `blocker` block it, unless that is None."""
+        """Pause a key until a time (s) and add a blocker, if one is given.
+
+        A pause that ends later than `until` stays as it is.
+        """
         self.paused_until[key] = max(self.paused_until.get(key, -inf), until)
         if blocker is not None:
             self.blocks.add(key, blocker)
 
     def blocking_items(self, now: float, forecast: Callable[[Item], TurnForecast | None]) -> Iterator[Item]:
-        """Yield items whose turn comes too late, each where one behind can only end in time without it.
+        """Yield the items to drop, since they will be late and make an item behind them late.
+
+        The caller may end an item before it takes the next one; an item can be yielded more than once. At the
+        end, pauses that have passed are removed.
 
-        Items without a forecast need no turn. Yielded items may end before the next one is asked for; one can
-        be yielded more than once. Pauses that have passed are dropped at the end.
+        Args:
+            now: The time, in seconds.
+            forecast: Returns the expected turn of an item; None if it needs no turn.
         """
         for key, queue in list(self.queues.items()):
             turns = [(turn, item) for item in queue if (turn := forecast(item))]
@@ -169,22 +182,22 @@
 
 
 class Reservations(Generic[Item]):
-    """Items in the order in which they came, and the sums of the threads and the memory that they hold."""
+    """Items in the order of their addition, with the sums of the threads and the memory that they hold."""
 
     def __init__(self):
-        """Create it without an item."""
+        """Create it without items."""
         self.items: dict[Item, None] = {}
         self.threads = 0.0
         self.memory = 0.0
 
     def add(self, item: Item, threads: int, memory: float) -> None:
-        """Add an item with what it holds."""
+        """Add an item with the threads and the memory that it holds."""
         self.items[item] = None
         self.threads += threads
         self.memory += memory
 
     def remove(self, item: Item, threads: int, memory: float) -> bool:
-        """Remove an item with what it holds; return whether it was there."""
+        """Remove an item with the threads and the memory that it holds; return whether it was in there."""
         if item not in self.items:
             return False
         del self.items[item]
--- a/applevale/dispatching.py
+++ b/applevale/dispatching.py
@@ -1,4 +1,4 @@
-"""Dispatch of a batch of events to handlers by their type."""
+"""Dispatch of batches of events to handlers."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def dispatch_by_type(handlers: dict[type, Callable], events: Sequence) -> None:
-    """Handle a batch of events in the order of `handlers`, and those of one type in their own order.
+    """Pass each event of a batch to the handler of its type; ignore events of other types.
 
-    Events of other types are ignored.
+    Types are handled in the order of `handlers`, and events of one type in the order of the batch.
     """
     for kind, handler in handlers.items():
         for event in events:
--- a/applevale/errors.py
+++ b/applevale/errors.py
@@ -1,5 +1,5 @@
-"""The base of the errors that cross packages."""
+"""The base class of the errors that one package raises and another one catches."""
 
 
 class AppleValeError(Exception):
-    """An input or a state that the program cannot use; the text is one line for the operator."""
+    """An input or a state is invalid; the text is one line for the operator."""
--- a/applevale/rate_limits.py
+++ b/applevale/rate_limits.py
@@ -1,6 +1,6 @@
-"""Token bucket, exponential backoff, a budget of extra events and a quota that adapts to events.
+"""Rate limits: token bucket, exponential backoff, ratio budget and adaptive quota.
 
-They know no request, engine or setting, and none of them reads a clock; rates and limits are passed in.
+They are independent of requests, engines and settings, and read no clock.
 """
 
 from __future__ import annotations
@@ -9,24 +9,26 @@
 
 
 class TokenBucket:
-    """Tokens that accumulate at a rate, up to a capacity.
+    """A token bucket whose rate and capacity may change with each refill.
 
-    `level` may be negative: a debt. `updated_at` is the time (s) of the last refill.
+    Attributes:
+        level: Number of tokens; negative for a debt.
+        updated_at: Time (s) of the last refill.
     """
 
     def __init__(self, level: float, updated_at: float):
-        """Start with `level` tokens as of `updated_at`."""
+        """Create a bucket with `level` tokens at the time `updated_at` (s)."""
         self.level = level
         self.updated_at = updated_at
 
     def refill(self, now: float, rate: float, capacity: float) -> None:
-        """Add `rate` tokens for each second since the last refill, up to `capacity`."""
+        """Add `rate` tokens per second since the last refill, up to `capacity` tokens."""
         gained = rate * max(0.0, now - self.updated_at)
         self.level = min(self.level + gained, capacity)
         self.updated_at = now
 
     def take(self) -> bool:
-        """Take one token if there is one; return whether it was taken."""
+        """Take one token, if there is one; return whether it was taken."""
         if self.level < 1:
             return False
         self.level -= 1
@@ -34,37 +36,49 @@
 
 
 class ExponentialBackoff:
-    """A delay that doubles up to a limit. `delay` (s) is the next one."""
+    """A delay that doubles with each use, up to a limit.
+
+    Attributes:
+        delay: The next delay, in seconds.
+    """
 
     def __init__(self, initial: float, limit: float):
-        """Start with a delay of `initial` seconds."""
+        """Create a backoff from its first and its longest delay, in seconds."""
         self.initial = initial
         self.limit = limit
         self.delay = initial
 
     @property
     def is_initial(self) -> bool:
-        """Whether the next delay is the first one."""
+        """Whether the next delay is the first one after a reset."""
         return self.delay == self.initial
 
     def advance(self) -> float:
-        """Return the present delay, and double the next one."""
+        """Return the next delay (s), and double the one after it."""
         delay = self.delay
         self.delay = min(self.delay * 2, self.limit)
         return delay
 
     def reset(self) -> None:
-        """Begin again with the first delay."""
+        """Return to the first delay."""
         self.delay = self.initial
 
 
 class RatioBudget:
-    """Limits extra events to a share of the ordinary ones, both within a sliding window."""
+    """Limits extra events to a share of the ordinary events in a sliding window.
+
+    Attributes:
+        ordinary: Times (s) of ordinary events.
+        extra: Times (s) of extra events.
+    """
 
     def __init__(self, span: float, share: float | None, allowance: float):
-        """Allow for a share of the ordinary events and an allowance; None as share sets no limit.
+        """Create a budget without events.
 
-        The window is `span` seconds long.
+        Args:
+            span: Length of the window, in seconds.
+            share: Extra events per ordinary event; None means no limit.
+            allowance: Extra events that are allowed in addition.
         """
         self.span = span
         self.share = share
@@ -73,18 +87,18 @@
         self.extra: deque[float] = deque()
 
     def record_ordinary(self, now: float) -> None:
-        """Record an ordinary event."""
+        """Record an ordinary event at `now` (s)."""
         self.ordinary.append(now)
         for times in (self.ordinary, self.extra):
             while times and times[0] <= now - self.span:
                 times.popleft()
 
     def record_extra(self, now: float) -> None:
-        """Record an extra event."""
+        """Record an extra event at `now` (s)."""
         self.extra.append(now)
 
     def allows_extra(self, now: float) -> bool:
-        """Return whether one more extra event stays within the budget."""
+        """Return whether the budget allows another extra event at `now` (s)."""
         if self.share is None:
             return True
         start = now - self.span
@@ -94,13 +108,17 @@
 
 
 class AdaptiveQuota:
-    """A quota that is refilled in each window, to the events of the last window and a base.
+    """A quota that is set, at the start of each window, to the events of the last window plus a base.
 
-    `missed` counts the events of this window that were not paid for.
+    Attributes:
+        quota: What is left of the quota.
+        events: Number of events in this window.
+        missed: Number of those that were not expected.
+        next_refill: Time (s) at which the next window may start.
     """
 
     def __init__(self, window: float, base: float):
-        """Let a window last for `window` seconds; begin with a quota of `base`."""
+        """Create a quota of `base`, with windows of `window` seconds."""
         self.window = window
         self.base = base
         self.quota = base
@@ -109,7 +127,7 @@
         self.next_refill = 0.0
 
     def refill(self, now: float) -> None:
-        """Begin a new window, if the last one is over at `now` (s)."""
+        """Start a new window if the last one has ended by `now` (s)."""
         if now >= self.next_refill:
             self.next_refill = now + self.window
             self.quota = self.events + self.base
@@ -117,13 +135,13 @@
             self.missed = 0
 
     def record(self, now: float, is_missed: bool) -> None:
-        """Take in an event."""
+        """Record an event at `now` (s)."""
         self.refill(now)
         self.events += 1
         self.missed += is_missed
 
     def spend(self, price: float) -> bool:
-        """Pay a price, if the quota allows for it; return whether it does."""
+        """Pay a price, if the quota allows it; return whether it was paid."""
         if self.quota < price:
             return False
         self.quota -= price
--- a/applevale/stalls.py
+++ b/applevale/stalls.py
@@ -1,4 +1,4 @@
-"""Notices by a periodic timer that the process stood still. It reads no clock."""
+"""Detects by a late timer that the process was stalled. It reads no clock."""
 
 from __future__ import annotations
 
@@ -6,25 +6,31 @@
 
 
 class StallDetector:
-    """Keeps the time at which the timer is due; a timer that is late by far shows a stall."""
+    """Detects stalls of the process: times in which a timer that was due did not fire.
+
+    Attributes:
+        due_at: Time (s) at which the timer is due; infinite if it is not set.
+        longest: Length (s) of the longest recent stall.
+        longest_at: Time (s) at which that stall ended.
+    """
 
     def __init__(self, interval: float, tolerance: float, time_constant: float):
-        """Watch a timer of `interval` seconds.
+        """Create a detector whose timer is not set.
 
         Args:
             interval: Seconds from setting the timer until it is due.
-            tolerance: Seconds of lateness that are no stall.
-            time_constant: Seconds in which a past stall comes to count 1/e of its length.
+            tolerance: Lateness of the timer, in seconds, that does not count as a stall.
+            time_constant: Seconds in which the weight of a past stall decays to 1/e.
         """
         self.interval = interval
         self.tolerance = tolerance
         self.time_constant = time_constant
-        self.due_at = inf  # inf: the timer is not set
+        self.due_at = inf
         self.longest = 0.0
         self.longest_at = 0.0
 
     def check(self, now: float) -> float:
-        """Return the length (s) of a stall that ends now; 0 if there is none."""
+        """Return the length (s) of a stall that ends at `now`; 0 if there is none."""
         stall = now - self.due_at
         if stall <= self.tolerance:
             return 0.0
@@ -33,16 +39,16 @@
         return stall
 
     def recent(self, now: float) -> float:
-        """Return the longest stall (s), less by the time since."""
+        """Return the length (s) of the longest recent stall, decayed by the time since then."""
         return self.longest * exp((self.longest_at - now) / self.time_constant)
 
     def set_timer(self, now: float) -> bool:
-        """Take note that the timer is to be set; return False if it is set already."""
+        """Record that the timer is being set; return False if it is already set."""
         if self.due_at != inf:
             return False
         self.due_at = now + self.interval
         return True
 
     def on_timer(self) -> None:
-        """Take note that the timer has run out."""
+        """Record that the timer has fired."""
         self.due_at = inf
