--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives the decision module in simulated time, and builders of its settings."""
+"""A driver that runs the decision module in simulated time, and a builder of its settings."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_settings(**changes) -> api.Settings:
-    """Return settings with two classes and two kinds of engines, with the given fields changed."""
+    """Return settings with two classes and two machine kinds, with the given fields changed."""
     base = dict(
         classes=(LOOKUP, REPORT),
         kinds=KINDS,
@@ -35,14 +35,15 @@
 
 
 class PolicyDriver:
-    """A controller with a clock of its own, which calls it for each timer that is due.
+    """Runs a controller on a simulated clock, and fires its timers when they are due.
 
     Attributes:
         settings: The settings of the controller.
-        controller: The controller.
-        now: The time on the clock, in seconds.
+        controller: The controller under test.
+        now: The simulated time, in seconds.
         timers: Pairs of due time and token of the timers that are set.
-        log: Pairs of time and action of all actions up to now.
+        log: Pairs of time and action of all actions so far.
+        ids: Yields the ids of new requests.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         self.handle(api.EngineList(entries, whole=True))
 
     def handle(self, *events) -> list:
-        """Hand in a batch of events; return the actions but for timers and terms."""
+        """Handle a batch of events; return the actions except `SetTimer` and `Terms`."""
         actions = self.controller.handle(self.now, events)
         for action in actions:
             if isinstance(action, api.SetTimer):
@@ -67,24 +68,24 @@
         return [action for action in actions if not isinstance(action, (api.SetTimer, api.Terms))]
 
     def submit(
-        self, cls: int = 0, ttl: float = 0.0, work: float = 0.2, memory: float = 50.0, **fields
+        self, class_index: int = 0, timeout: float = 0.0, work: float = 0.2, memory: float = 50.0, **fields
     ) -> tuple[int, list]:
         """Submit a request; return its id and the actions.
 
         Args:
-            cls: The position of its class in the settings.
-            ttl: Its timeout in seconds; 0 means the deadline of its class.
-            work: Its estimate of work, in core seconds.
-            memory: Its estimate of memory, in MB.
+            class_index: Index of its class in the settings.
+            timeout: Its timeout in seconds; 0 means the deadline of its class.
+            work: Estimated work in core seconds.
+            memory: Estimated memory in MB.
             **fields: Other fields of `api.Request`.
         """
         request_id = next(self.ids)
-        timeout = ttl or self.settings.classes[cls].deadline
-        request = api.Request(request_id, cls, ttl=timeout, work=work, memory_mb=memory, **fields)
+        ttl = timeout or self.settings.classes[class_index].deadline
+        request = api.Request(request_id, class_index, ttl=ttl, work=work, memory_mb=memory, **fields)
         return request_id, self.handle(request)
 
     def send_request(self, *arguments, **fields) -> api.Send:
-        """Submit a request as `submit` does, which must be sent at once; return the action that sends it."""
+        """Submit a request as `submit` does; return the action that sends it, which must come at once."""
         _, actions = self.submit(*arguments, **fields)
         return actions_of(api.Send, actions)[0]
 
@@ -97,14 +98,14 @@
         memory: float = 40.0,
         **fields,
     ) -> list:
-        """Let the attempt of `send` end with `result`; return the actions.
+        """End the attempt of `send` with a result; return the actions.
 
         Args:
-            send: The action that began the attempt.
+            send: The action that started the attempt.
             result: Its result; a completed attempt is final unless `fields` say otherwise.
-            attempt: The index of the attempt among those of its request.
-            work: What a completed attempt used, in core seconds.
-            memory: What a completed attempt used, in MB.
+            attempt: Index of the attempt among those of its request.
+            work: Work that a completed attempt used, in core seconds.
+            memory: Memory that a completed attempt used, in MB.
             **fields: Other fields of `api.Outcome`.
         """
         is_completed = result is api.Result.OK
@@ -125,7 +126,7 @@
         return self.handle(outcome)
 
     def run(self, seconds: float) -> list:
-        """Let time pass and fire the timers that are due; return the actions."""
+        """Advance the clock and fire the timers that are due; return the actions."""
         actions = []
         end = self.now + seconds
         while self.timers and min(self.timers)[0] <= end:
@@ -137,27 +138,27 @@
         return actions
 
     def logged(self, kind: type) -> list:
-        """Return all actions of type `kind` up to now."""
+        """Return all actions of type `kind` so far."""
         return actions_of(kind, [action for _, action in self.log])
 
     def report_load(self, engine: int, memory_used: float = 0.0, cpu: float = 0.0) -> None:
-        """Let an engine report its load, as shares of what it has, in a batch of its own."""
+        """Apply a load report of an engine; both arguments are shares of its capacity."""
         self.controller.load.apply_report(self.engine(engine), (0.0, cpu, 0.0, memory_used))
-        self.controller.load.start_batch()  # as at the start of a batch
+        self.controller.load.start_batch()  # drops the loads that are cached from before the report
 
     def pending_request(self, request_id: int):
-        """Return what the controller keeps of a request that has no final answer."""
+        """Return the controller's state of a request that has not ended."""
         return self.controller.attempts.pending[request_id]
 
     def engine(self, engine_id: int):
-        """Return what the controller keeps of an engine."""
+        """Return the controller's state of an engine."""
         return self.controller.engines[engine_id]
 
     def is_ejected(self, engine_id: int) -> bool:
-        """Return whether an engine gets no attempts for a while."""
+        """Return whether an engine is ejected now."""
         return self.engine(engine_id).health.is_open(self.now)
 
 
 def actions_of(kind: type, actions: Iterable) -> list:
-    """Return those of `actions` that are of type `kind`."""
+    """Return the actions of type `kind`."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -1,4 +1,4 @@
-"""An independent checker of the rules that one instance can see; it shares no code with the controller."""
+"""A checker of the rules that one instance must keep, which shares no code with the controller."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass
 class AttemptRecord:
-    """An attempt as the checker knows it; `result` is None while it is in flight."""
+    """An attempt of a request; `result` is None while it is in flight."""
 
     sent_at: float
     zone: int
@@ -21,25 +21,25 @@
 
     @property
     def is_possibly_executed(self):
-        """Whether nothing shows that the engine did not execute it."""
+        """Whether the engine may have executed it."""
         return self.result not in NEVER_EXECUTED
 
 
 class RuleChecker:
-    """Keeps records of its own of events and actions, and asserts the rules on each action."""
+    """Records events and actions, and asserts that each action keeps the rules."""
 
     def __init__(self, settings):
         self.settings = settings
         self.engines = {}
         self.unready_since = {}  # by engine
-        self.requests = {}  # time of arrival and request, by id
+        self.requests = {}  # pairs of time of arrival and request, by id
         self.attempts = {}  # by request id
         self.ended_at = {}  # by request id
         self.arrivals = []
         self.retries = []
         self.paused_until = {}  # by order key
         self.ordered_requests = []
-        self.stall_start = 0.0  # of the last time in which the instance did not run
+        self.stall_start = 0.0  # start and end of the last stall of the instance
         self.stall_end = 0.0
 
     def on_entry(self, now, entry):
@@ -68,12 +68,12 @@
             self.on_end(now, outcome.request)
 
     def on_end(self, now, request_id):
-        """Record the final answer to a request, or that its client has left."""
-        assert request_id not in self.ended_at, "a second final answer"
+        """Record the final answer to a request, or that its client is gone."""
+        assert request_id not in self.ended_at, "the request has a second final answer"
         self.ended_at[request_id] = now
 
     def on_action(self, now, action):
-        """Check an action, and record it."""
+        """Check an action and record it."""
         if isinstance(action, api.Cancel):
             assert self.settings.may_cancel
             assert action.attempt < len(self.attempts[action.request])
@@ -93,27 +93,29 @@
         arrived_at, request = self.requests[action.request]
         due = arrived_at + request.ttl + self.settings.answer_slack
         is_after_stall = self.stall_start <= due and now == self.stall_end
-        assert now <= due or is_after_stall, "answered too late"
+        assert now <= due or is_after_stall, "the final answer is too late"
         spec = self.settings.classes[request.cls]
         is_repeatable = spec.repeat is api.Repeat.SAFE
         is_repeatable |= spec.repeat is not api.Repeat.UNSAFE and spec.group == "all"
         if isinstance(action, api.Reject) and not is_repeatable:
             results = [attempt.result for attempt in self.attempts[action.request]]
-            assert all(result in NEVER_EXECUTED for result in results), "rejected though possibly executed"
+            assert all(result in NEVER_EXECUTED for result in results), (
+                "a request that may have been executed was rejected"
+            )
 
     def _check_send(self, now, send):
-        assert send.request not in self.ended_at, "sent after its end"
+        assert send.request not in self.ended_at, "the request was sent after its end"
         _, request = self.requests[send.request]
         spec = self.settings.classes[request.cls]
         entry = self.engines[send.engine]
         unready_since = self.unready_since.get(send.engine, now)
-        assert now <= unready_since + self.settings.drain_grace, "sent to a draining engine"
-        assert spec.kinds is None or entry.kind in spec.kinds, "placement: kind"
-        assert spec.zones is None or entry.zone in spec.zones, "placement: zone"
+        assert now <= unready_since + self.settings.drain_grace, "the request was sent to a draining engine"
+        assert spec.kinds is None or entry.kind in spec.kinds, "the machine kind is not allowed for the class"
+        assert spec.zones is None or entry.zone in spec.zones, "the zone is not allowed for the class"
         attempts = self.attempts[send.request]
-        assert len(attempts) < self.settings.try_limit, "too many attempts"
+        assert len(attempts) < self.settings.try_limit, "the request has too many attempts"
         is_alone = all(attempt.result for attempt in attempts)
-        assert self.settings.parallel_tries or is_alone, "two attempts at once"
+        assert self.settings.parallel_tries or is_alone, "two attempts of the request are in flight at once"
         self._check_repetition(now, spec, entry, attempts)
         if spec.ordered and request.key:
             self._check_order(now, request)
@@ -127,18 +129,24 @@
         first = possibly_executed[0]
         assert spec.repeat is not api.Repeat.UNSAFE, "an unsafe request was sent again"
         if spec.repeat is api.Repeat.KEYED:
-            assert entry.zone == first.zone, "sent again outside its group"
-            assert now <= first.sent_at + spec.repeat_window, "sent again after its window"
+            assert entry.zone == first.zone, "a keyed request was sent again to another zone"
+            assert now <= first.sent_at + spec.repeat_window, (
+                "a keyed request was sent again after its repeat window"
+            )
 
     def _check_order(self, now, request):
-        assert self.paused_until.get(request.key, 0) <= now, "the order key is paused"
+        assert self.paused_until.get(request.key, 0) <= now, (
+            "a request was sent while its order key was paused"
+        )
         for other in self.ordered_requests:
             if other is request:
                 break
             if other.key == request.key:
-                assert other.request in self.ended_at, "sent before an earlier request of its key ended"
+                assert other.request in self.ended_at, "an earlier request of the order key has not ended"
                 attempts = self.attempts[other.request]
-                assert all(attempt.result for attempt in attempts), "an earlier request is in flight"
+                assert all(attempt.result for attempt in attempts), (
+                    "an earlier request of the order key is in flight"
+                )
 
     def _check_retry_budget(self, now):
         self.retries.append(now)
@@ -148,4 +156,4 @@
         arrival_count = sum(arrival > window_start for arrival in self.arrivals)
         retry_count = sum(retry > window_start for retry in self.retries)
         budget = self.settings.budget_free + self.settings.budget_share * arrival_count
-        assert retry_count <= budget, "retry budget"
+        assert retry_count <= budget, "the retry budget is exceeded"
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,4 +1,4 @@
-"""What all workload managers together send to a cold engine, as decisions without I/O."""
+"""The work that all instances together send to a cold engine, by decisions without I/O."""
 
 from math import sqrt
 
@@ -15,11 +15,11 @@
 
 @pytest.mark.parametrize("count", [1, 20, 30])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_shares_of_all_stay_within_the_budget_of_a_cold_engine(count, seed):
-    """N is what the settings allow in a window; all together send N and 2 x root of N + 2 at the most."""
+def test_all_instances_together_stay_within_the_budget_of_a_cold_engine(count, seed):
+    """For N requests that the settings allow in a window, at most N + 2 x sqrt(N) + 2 are sent."""
     settings = make_settings(gateways=count, cold_share=0.33, warm_up=15.0, fall=1.5, fall_multiple=4.0)
     entry = api.EngineEntry(1, started=100.0)
-    fleet = [AdmissionController(settings, 100 * seed + at) for at in range(count)]
+    fleet = [AdmissionController(settings, 100 * seed + index) for index in range(count)]
     sent = []
     number = 0
     now = 100.0
@@ -41,15 +41,15 @@
     for start in sent:
         share = settings.cold_share + (1 - settings.cold_share) * (start - 100.0) / settings.warm_up
         allowed = settings.fall_multiple * share * CORES * 0.85 * settings.fall / WORK
-        window = sum(start <= at < start + settings.fall for at in sent)
+        window = sum(start <= time < start + settings.fall for time in sent)
         assert window <= allowed + 2 * sqrt(allowed) + 2
 
 
 @pytest.mark.parametrize("count", [20, 30])
-def test_the_shares_add_up_to_the_budget_whatever_the_fleets_size(count):
-    def levels(size):
+def test_the_shares_of_all_instances_add_up_to_the_budget_at_any_fleet_size(count):
+    def accrued_budget(size):
         settings = make_settings(gateways=size)
-        fleet = [AdmissionController(settings, at) for at in range(size)]
+        fleet = [AdmissionController(settings, seed) for seed in range(size)]
         for controller in fleet:
             controller.handle(100.0, (api.EngineList((api.EngineEntry(1, started=100.0),), whole=True),))
         engines = [controller.engines[1] for controller in fleet]
@@ -59,4 +59,4 @@
             engine.cold_budget_allows(0.0, 101.0)
         return sum(engine.cold_budget.level + 1e9 for engine in engines)
 
-    assert levels(count) == pytest.approx(levels(1), rel=1e-6)
+    assert accrued_budget(count) == pytest.approx(accrued_budget(1), rel=1e-6)
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -1,4 +1,4 @@
-"""The arithmetic and the containers that the decision module uses; none of them reads a clock."""
+"""The arithmetic and the containers of the decision module."""
 
 from math import exp
 from random import Random
@@ -39,15 +39,15 @@
     assert model.weights == [2.0, 2.0] and model.predict((1.0, 1.0)) > 0.95
 
 
-def test_a_missed_outcome_is_expected_until_it_is_forgotten():
+def test_a_missed_outcome_is_predicted_until_it_is_forgotten():
     classifier = RememberingClassifier(LogisticModel((-2.0,), 0.1, 8.0), ExpiringKeys(2), lifetime=10.0)
     classifier.learn(0.0, "kind", (), outcome=True, expected=False)
     assert classifier.predict(9.0, "kind", (1.0,)) == 1.0
     assert classifier.predict(11.0, "kind", (1.0,)) < 0.2
-    assert classifier.model.weights == [-2.0]  # no features: nothing learned
+    assert classifier.model.weights == [-2.0]  # the model learns nothing without features
 
 
-def test_entropy_ramp_and_readings():
+def test_entropy_ramp_readings_and_features():
     assert binary_entropy(0.5) == pytest.approx(1.0)
     assert binary_entropy(0.0) == binary_entropy(1.0) == 0.0
     assert [quadratic_ramp(age, 10.0, 0.2) for age in (-1.0, 0.0, 5.0, 10.0)] == [0.2, 0.2, 0.4, 1.0]
@@ -56,7 +56,7 @@
     assert unit_features(-1.0, 0.5, 3.0) == (1.0, 0.0, 0.5, 1.0)
 
 
-def test_run_times_are_expected_by_the_slowdown_that_was_seen():
+def test_run_times_are_predicted_by_the_observed_slowdown():
     estimate = RunTimeEstimate(1.5, 0.3, max_ratio=20.0, max_slowdown=5.0)
     assert estimate.expect(2.0) == 3.0
     assert estimate.learn(expected=1.5, free_run_time=1.0, run_time=100.0) == 100.0
@@ -64,14 +64,14 @@
     assert estimate.spread(2.0) == exp(2.0 * estimate.scatter.value)
 
 
-def test_density_compares_with_the_mean_item():
+def test_density_is_relative_to_the_mean_item():
     density = RelativeDensity()
     density.add(value=2.0, usual_cost=4.0)
     assert density.density(value=2.0, cost=4.0) == pytest.approx(1.0)
     assert density.density(value=2.0, cost=1.0) == pytest.approx(4.0)
 
 
-def test_a_level_counts_for_as_long_as_it_lasted():
+def test_a_level_is_weighted_by_its_duration():
     mean = TimeWeightedMean(10.0)
     mean.add(0.0, 0.0)
     mean.add(10.0, 4.0)
@@ -88,7 +88,7 @@
     assert bucket.level == 0.0
 
 
-def test_a_backoff_doubles_to_its_limit_and_begins_anew():
+def test_a_backoff_doubles_up_to_its_limit_and_can_be_reset():
     backoff = ExponentialBackoff(1.0, 3.0)
     assert [backoff.advance() for _ in range(4)] == [1.0, 2.0, 3.0, 3.0]
     assert not backoff.is_initial
@@ -132,7 +132,7 @@
     assert not breaker.is_open(2.5)
 
 
-def test_bounded_containers_drop_the_oldest_or_begin_anew():
+def test_bounded_containers_drop_the_oldest_key_or_all_values():
     keys = ExpiringKeys(2)
     for key in "abc":
         keys.add(key, 10.0)
@@ -142,7 +142,7 @@
     assert cache.get("a") is None and cache.get("c") == "c"
 
 
-def test_reservations_sum_what_their_items_hold():
+def test_reservations_sum_the_threads_and_memory_of_their_items():
     held = Reservations()
     held.add("a", 2, 0.1)
     held.add("b", 1, 0.2)
@@ -150,7 +150,7 @@
     assert held.threads == 1 and held.remove("b", 1, 0.2) and held.memory == 0.0
 
 
-def test_keyed_sets_take_no_space_when_empty():
+def test_keyed_sets_do_not_store_empty_sets():
     sets = KeyedSets()
     sets.add(1, "a")
     sets.discard(1, "b")
@@ -159,7 +159,7 @@
     assert 1 not in sets and not sets
 
 
-def test_turns_go_round_in_order_behind_pauses_and_blocks():
+def test_serial_queues_keep_the_order_and_respect_pauses_and_blocks():
     ended, first, second = set(), object(), object()  # items are compared by identity
     queues = SerialQueues(ended.__contains__)
     for item in (first, second):
@@ -175,23 +175,23 @@
     assert not queues.queues and queues.length(1) == 0
 
 
-def test_a_late_turn_blocks_only_where_one_behind_it_is_in_time_without_it():
+def test_a_late_item_is_blocking_only_if_one_behind_it_can_then_end_in_time():
     queues = SerialQueues(lambda item: False)
-    for item in ("running", "late", "patient", "hurried", "over"):
+    for item in ("running", "late", "patient", "urgent", "ended"):
         queues.append(1, item)
     turns = {
         "running": TurnForecast(1.0, 1.0, 1.0, running_for=0.5),
         "late": TurnForecast(1.0, 2.0, 2.0, None),
         "patient": TurnForecast(1.0, 1.0, 9.0, None),
-        "hurried": TurnForecast(1.0, 1.0, 3.0, None),
-        "over": None,
+        "urgent": TurnForecast(1.0, 1.0, 3.0, None),
+        "ended": None,
     }
     queues.pause(2, 5.0)
     assert list(queues.blocking_items(0.0, turns.get)) == ["late"]
     assert list(queues.blocking_items(5.0, lambda item: None)) == [] and not queues.paused_until
 
 
-def test_a_late_timer_shows_a_stall_that_fades():
+def test_a_late_timer_shows_a_stall_that_decays():
     stalls = StallDetector(interval=0.1, tolerance=0.2, time_constant=10.0)
     assert stalls.check(5.0) == 0.0 and stalls.set_timer(5.0) and not stalls.set_timer(5.0)
     assert stalls.check(5.25) == 0.0
@@ -200,7 +200,7 @@
     assert stalls.check(7.0) == 0.0 and stalls.recent(16.1) == pytest.approx(exp(-1.0))
 
 
-def test_the_better_of_two_is_of_the_best_class():
+def test_the_better_of_two_is_from_the_best_class():
     candidates = [(0, 0.5, 1), (0, 0.1, 2), (0, 0.9, 3), (1, 0.0, 4)]
     drawn = {better_of_two(Random(seed), candidates, 1) for seed in range(50)}
     assert drawn == {(0, 0.5, 1), (0, 0.1, 2)}
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The controller as a whole: batches, timers, unknown input, determinism."""
+"""The controller as a whole: timers, stalls, invalid events, determinism, and memory."""
 
 import gc
 import os
@@ -15,7 +15,7 @@
 
 def test_every_request_is_answered_before_its_timeout():
     driver = PolicyDriver(engines=1)
-    request_id, actions = driver.submit(ttl=2.0)
+    request_id, actions = driver.submit(timeout=2.0)
     assert actions_of(api.Send, actions)
     driver.run(2.5)
     answer_times = [
@@ -27,7 +27,7 @@
     assert answer_times[0] < 102.0
 
 
-def test_a_stall_of_the_process_is_not_taken_for_silence_of_an_engine():
+def test_a_stall_of_the_instance_does_not_count_as_silence_of_an_engine():
     driver = PolicyDriver(engines=3)
     send = driver.send_request(1, work=1.0, tables=1.0)
     driver.now += 3.0
@@ -39,13 +39,13 @@
     assert not any(engine.health.on_probation for engine in driver.controller.engines.values())
 
 
-def test_after_a_stall_final_answers_are_given_earlier():
+def test_final_answers_are_given_earlier_after_a_stall():
     driver = PolicyDriver(engines=1)
     driver.submit(1)
     driver.now += 1.5
     driver.timers.clear()
     driver.handle(api.Timer(0))
-    request_id, _ = driver.submit(ttl=4.0)
+    request_id, _ = driver.submit(timeout=4.0)
     submitted_at = driver.now
     driver.run(5.0)
     (rejected_at,) = [
@@ -54,7 +54,7 @@
     assert rejected_at < submitted_at + 4.0 - 1.0
 
 
-def test_an_idle_controller_sets_no_timers():
+def test_an_idle_controller_sets_no_timer():
     driver = PolicyDriver(engines=40, gateways=300)
     send = driver.send_request()
     driver.finish(send)
@@ -63,7 +63,7 @@
     assert not driver.controller.attempts.pending
 
 
-def test_events_on_unknown_requests_and_engines_are_ignored():
+def test_events_about_unknown_requests_and_engines_are_ignored():
     driver = PolicyDriver()
     assert not driver.handle(
         api.Outcome(77, 0, 1, api.Result.OK),
@@ -75,13 +75,13 @@
     )
     not_a_number = float("nan")
     infinity = float("inf")
-    absurd_request = api.Request(5000, 0, ttl=4.0, work=not_a_number, memory_mb=infinity)
-    assert actions_of(api.Send, driver.handle(absurd_request))
+    infinite_request = api.Request(5000, 0, ttl=4.0, work=not_a_number, memory_mb=infinity)
+    assert actions_of(api.Send, driver.handle(infinite_request))
     negative_request = api.Request(5001, 0, ttl=4.0, work=-3.0, memory_mb=-1.0)
     assert actions_of(api.Send, driver.handle(negative_request))
 
 
-def test_a_failed_subscription_is_repeated_with_back_off():
+def test_a_failed_subscription_is_retried_with_backoff():
     driver = PolicyDriver(discovery_push=False)
     assert driver.logged(api.Subscribe)
     driver.handle(api.EngineList(failed=True))
@@ -98,19 +98,19 @@
 import sys; sys.path.insert(0, 'tests')
 from policy_driver import PolicyDriver
 driver = PolicyDriver(engines=5, seed=7)
-for i in range(300):
+for number in range(300):
     driver.now += 0.01
-    _, actions = driver.submit(i % 7 == 0, tables=float(i % 13), work=0.1 + i % 5)
+    _, actions = driver.submit(number % 7 == 0, tables=float(number % 13), work=0.1 + number % 5)
     driver.run(0.02)
     for action in actions:
-        if type(action).__name__ == 'Send' and i % 3:
+        if type(action).__name__ == 'Send' and number % 3:
             driver.finish(action)
 print(driver.log)
 """
 
 
 def run_script(hash_seed):
-    """Return the output of SCRIPT in a process with the given seed of hashes."""
+    """Return the output of SCRIPT in a process with the given hash seed."""
     environment = os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONPATH": "."}
     command = [sys.executable, "-c", SCRIPT]
     completed = subprocess.run(command, capture_output=True, text=True, check=True, env=environment)
@@ -137,7 +137,7 @@
     assert isinstance(first_of_two.controller, AdmissionController)
 
 
-def test_an_engine_that_left_with_attempts_in_flight_is_forgotten_when_they_end():
+def test_a_removed_engine_is_kept_until_its_attempts_have_ended():
     driver = PolicyDriver(engines=2)
     send = driver.send_request()
     driver.handle(api.EngineList((api.EngineEntry(send.engine, state=api.State.GONE),)))
@@ -148,7 +148,7 @@
 
 
 def test_ended_requests_are_freed_without_the_garbage_collector():
-    """A request and its attempts must not be a reference cycle: a busy process rarely collects those."""
+    """A request and its attempts must not stay a reference cycle: those pile up between collections."""
     driver = PolicyDriver()
     sends = [driver.send_request() for _ in range(5)]
     gc.collect()
--- a/tests/test_policy_ejection.py
+++ b/tests/test_policy_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of engines by the outlier detector, and their readmission."""
+"""Ejection of failing engines by the outlier detector, and their readmission."""
 
 from policy_driver import PolicyDriver, actions_of
 
@@ -19,8 +19,8 @@
     assert engines.count(failing) == 1
 
 
-def test_two_resets_eject_no_engine_but_three_in_a_row_do():
-    """Single resets may come from the network, or from another client's corrupt answer."""
+def test_an_engine_is_ejected_after_three_consecutive_resets():
+    """Single resets may come from the network, or from a corrupt answer to another client."""
     driver = PolicyDriver(engines=4)
     sends = [driver.send_request(tables=1.0, work=0.05) for _ in range(6)]
     results = (Result.RESET, Result.RESET, Result.OK, Result.RESET, Result.RESET)
@@ -32,7 +32,7 @@
     assert driver.is_ejected(sends[0].engine)
 
 
-def test_a_request_that_two_engines_fail_is_rejected_and_ejects_neither():
+def test_a_request_with_errors_from_two_engines_is_rejected_and_ejects_neither():
     driver = PolicyDriver(engines=5)
     first = driver.send_request()
     (second, *_) = actions_of(api.Send, driver.finish(first, Result.ERROR))
@@ -45,7 +45,7 @@
         assert not engine.health.on_probation
 
 
-def test_the_number_of_ejected_engines_is_capped_when_all_fail():
+def test_the_number_of_ejected_engines_is_limited_when_all_fail():
     driver = PolicyDriver(engines=5)
     for group in range(60):
         _, actions = driver.submit(tables=float(group))
--- a/tests/test_policy_probes.py
+++ b/tests/test_policy_probes.py
@@ -1,4 +1,4 @@
-"""Probes: when the controller asks an engine for its load before it sends a request."""
+"""Probes: when the controller asks an engine for a load report before it sends a request."""
 
 import pytest
 from policy_driver import PolicyDriver, actions_of
@@ -9,12 +9,12 @@
 BUSY_REPORT = (0.0, 1.0, 0.0, 0.1)
 
 
-def test_long_work_is_sent_after_a_probe_and_a_silent_engine_is_skipped():
+def test_long_requests_are_sent_after_a_probe_and_silent_engines_are_skipped():
     driver = PolicyDriver(engines=4, gateways=100, may_probe=True)
     request_id, actions = driver.submit(1, work=3.0, tables=1.0)
     (first_probe,) = actions_of(api.Probe, actions)
     assert not actions_of(api.Send, actions)
-    (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first got no answer
+    (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first one had no answer
     assert second_probe.engine != first_probe.engine
     actions = driver.handle(api.ProbeResult(second_probe.engine, api.Result.OK, report=IDLE_REPORT))
     sends = [(send.request, send.engine) for send in actions_of(api.Send, actions)]
@@ -24,10 +24,12 @@
 @pytest.mark.parametrize(
     "price, min_count, max_per_request", [(0.0, 50, 1.3), (0.011, 50, 1.3), (0.08, 0, 0.18)]
 )
-def test_the_number_of_probes_is_limited_by_requests_and_by_their_price(price, min_count, max_per_request):
+def test_the_number_of_probes_per_request_is_limited_and_depends_on_their_price(
+    price, min_count, max_per_request
+):
     driver = PolicyDriver(engines=40, gateways=300, may_probe=True, probe_price=price)
     for engine in driver.controller.engines.values():
-        engine.health.on_probation = True  # an engine to be readmitted is probed at any price
+        engine.health.on_probation = True  # probed at any price
     for group in range(100):
         driver.now += 0.5
         _, actions = driver.submit(1, work=3.0, tables=float(group))
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.parametrize("price, probe_count", [(0.011, 1), (0.08, 0)])
-def test_work_is_sent_after_a_probe_only_where_it_is_worth_the_price(price, probe_count):
+def test_a_request_is_sent_after_a_probe_only_if_probes_are_cheap(price, probe_count):
     driver = PolicyDriver(engines=4, gateways=40, may_probe=True, probe_price=price)
     _, actions = driver.submit(1, work=3.0, tables=1.0)
     assert len(actions_of(api.Probe, actions)) == probe_count
@@ -45,11 +47,11 @@
 
 
 @pytest.mark.parametrize(
-    "report_how, work, probes", [("probe", 9.0, True), ("probe", 0.1, False), ("answers", 9.0, False)]
+    "report_how, work, is_probed", [("probe", 9.0, True), ("probe", 0.1, False), ("answers", 9.0, False)]
 )
-def test_long_work_is_probed_for_where_answers_carry_no_load_report(report_how, work, probes):
-    """Without a probe nothing would say that other instances keep the preferred engine busy."""
+def test_long_requests_need_a_probe_if_answers_carry_no_load_report(report_how, work, is_probed):
+    """Only a probe can show that other instances keep the preferred engine busy."""
     driver = PolicyDriver(engines=4, gateways=100, may_probe=True, probe_price=0.08, report_how=report_how)
     driver.submit(work=0.01)
     _, actions = driver.submit(1, work=work)
-    assert bool(actions_of(api.Probe, actions)) is probes
+    assert bool(actions_of(api.Probe, actions)) is is_probed
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -1,4 +1,4 @@
-"""Retries: what may be sent again, where, how often, and when an attempt is cut off."""
+"""Retries: which requests are sent again, where and how often; cancellation of overdue attempts."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 UNSAFE = replace(LOOKUP, repeat=api.Repeat.UNSAFE)
 
 
-def test_an_unsafe_request_that_was_possibly_executed_fails_and_is_not_sent_again():
+def test_an_unsafe_request_that_may_have_been_executed_fails_without_a_retry():
     for result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
         driver = PolicyDriver(classes=(UNSAFE,))
         actions = driver.finish(driver.send_request(), result)
@@ -20,7 +20,7 @@
         assert not actions_of(api.Reject, actions)
 
 
-def test_an_unsafe_request_that_was_never_executed_is_sent_to_another_engine():
+def test_an_unsafe_request_that_was_not_executed_is_retried_on_another_engine():
     driver = PolicyDriver(classes=(UNSAFE,))
     first = driver.send_request()
     retries = actions_of(api.Send, driver.finish(first, Result.CONNECT_FAILED))
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
-def test_a_keyed_request_is_sent_again_only_in_its_group_and_window(group):
+def test_a_keyed_request_is_retried_only_in_its_repeat_group_and_window(group):
     keyed = replace(LOOKUP, repeat=api.Repeat.KEYED, group=group, repeat_window=1.0)
     entries = tuple(api.EngineEntry(engine, zone=engine % 2, cell=engine % 2) for engine in range(1, 7))
     driver = PolicyDriver(classes=(keyed,), entries=entries)
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize("group, answer", [("all", api.Reject), ("cell", api.Fail)])
-def test_a_request_whose_repeat_window_is_over_is_answered_at_once(group, answer):
-    """It must not wait until its deadline."""
+def test_a_request_is_answered_when_its_repeat_window_ends(group, answer):
+    """It must not wait until its deadline, since it cannot have another attempt."""
     keyed = api.ClassSpec(
         "post", aim=3.0, deadline=20.0, repeat=api.Repeat.KEYED, group=group, repeat_window=0.5
     )
@@ -70,7 +70,7 @@
     assert 1 <= retry_count <= 2
 
 
-def test_attempts_are_made_one_at_a_time_and_never_more_than_the_limit():
+def test_a_request_has_one_attempt_at_a_time_and_no_more_than_the_limit():
     driver = PolicyDriver(engines=5, try_limit=2)
     first = driver.send_request()
     retries = actions_of(api.Send, driver.finish(first, Result.ERROR))
@@ -80,8 +80,8 @@
     assert not actions_of(api.Send, actions)
 
 
-def test_a_lost_answer_is_cut_off_within_the_aim_at_any_scale_of_aims():
-    """A fixed minimum before a cut would be longer than a small aim."""
+def test_an_attempt_without_an_answer_is_cancelled_within_any_target_latency():
+    """A fixed minimum time before a cancellation would be longer than a short target latency."""
     for scale in (1.0, 0.3):
         driver = PolicyDriver(classes=(replace(LOOKUP, aim=scale, deadline=5 * scale),))
         for _ in range(60):
@@ -93,7 +93,7 @@
         assert [cancel.request for cancel in cancels] == [lost.request]
 
 
-def test_attempts_on_a_silent_engine_are_cut_off_and_sent_to_another():
+def test_attempts_on_a_silent_engine_are_cancelled_and_retried_on_another_one():
     driver = PolicyDriver(engines=3)
     silent = driver.send_request(tables=1.0)
     cancels = []
@@ -109,7 +109,7 @@
     assert all(retry.engine != silent.engine for retry in retries)
 
 
-def test_attempts_are_cut_off_later_where_durations_scatter_and_with_each_attempt():
+def test_attempts_become_overdue_later_with_scattered_run_times_and_with_each_attempt():
     driver = PolicyDriver()
     request_id, _ = driver.submit(1, work=3.0)
     attempt = driver.pending_request(request_id).attempts[0]
@@ -121,7 +121,7 @@
     assert driver.controller.attempts.overdue_after(attempt) == pytest.approx(2 * overdue_with_scatter)
 
 
-def test_an_attempt_with_little_progress_is_cut_off_before_it_is_overdue():
+def test_an_attempt_with_little_progress_is_cancelled_before_it_is_overdue():
     driver = PolicyDriver(progress=0.5)
     request_id, _ = driver.submit(1, work=3.0)
     engine = driver.pending_request(request_id).attempts[0].entry.engine
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -1,4 +1,4 @@
-"""Routing: which engine gets a request, by affinity, placement, state and load."""
+"""Routing: the selection of engines by affinity, placement rules, state and load."""
 
 from dataclasses import replace
 
@@ -7,7 +7,7 @@
 from applevale import api
 
 
-def test_requests_of_one_table_group_go_to_one_engine_and_instances_agree_on_it():
+def test_all_instances_send_the_requests_of_a_table_group_to_the_same_engine():
     engines_by_seed = []
     for seed in (1, 2):
         driver = PolicyDriver(engines=7, seed=seed)
@@ -17,7 +17,7 @@
     assert len(set(engines_by_seed[0])) > 3
 
 
-def test_the_loss_of_an_engine_moves_only_its_own_table_groups():
+def test_the_loss_of_an_engine_moves_only_the_table_groups_of_that_engine():
     before = PolicyDriver(engines=7)
     after = PolicyDriver(entries=tuple(api.EngineEntry(engine) for engine in range(1, 7)))
     for group in range(30):
@@ -35,7 +35,7 @@
         assert driver.send_request(tables=float(group), work=0.05).engine == 2
 
 
-def test_placement_holds_even_when_the_only_engine_fails():
+def test_placement_rules_hold_even_if_the_only_allowed_engine_fails():
     bound = replace(REPORT, kinds=frozenset({1}))
     entries = (api.EngineEntry(1, kind=0), api.EngineEntry(2, kind=1))
     driver = PolicyDriver(entries=entries, classes=(LOOKUP, bound))
@@ -45,7 +45,7 @@
     assert all(send.engine == 2 for send in actions_of(api.Send, later_actions))
 
 
-def test_the_least_loaded_engine_is_taken_if_all_threads_of_the_preferred_one_are_busy():
+def test_another_engine_is_selected_if_the_preferred_one_is_busy():
     driver = PolicyDriver(engines=3, gateways=100)
     request_id, _ = driver.submit(tables=2.0)
     request = driver.pending_request(request_id)
@@ -55,10 +55,10 @@
     assert driver.send_request(tables=2.0).engine != preferred
 
 
-def test_loads_avoid_the_engines_of_their_readers_and_have_no_low_priority():
+def test_table_loads_avoid_the_engines_of_their_readers_and_have_a_high_priority():
     load = replace(REPORT, repeat=api.Repeat.UNSAFE, load=True, worth=0.1)
     engines_of_readers = set()
-    engines_of_loads = set()
+    engines_of_table_loads = set()
     priorities = set()
     for seed in range(30):
         classes = (replace(LOOKUP, yields=True), load)
@@ -66,18 +66,18 @@
         _, actions = driver.submit(0, tables=4.0, work=0.05)
         engines_of_readers |= {send.engine for send in actions_of(api.Send, actions)}
         request_id, actions = driver.submit(1, tables=4.0, work=3.0)
-        engines_of_loads |= {send.engine for send in actions_of(api.Send, actions)}
+        engines_of_table_loads |= {send.engine for send in actions_of(api.Send, actions)}
         priorities |= {terms.priority for terms in driver.logged(api.Terms) if terms.request == request_id}
     assert len(engines_of_readers) == 3
-    assert len(engines_of_loads) > 3
-    assert not engines_of_readers & engines_of_loads
+    assert len(engines_of_table_loads) > 3
+    assert not engines_of_readers & engines_of_table_loads
     assert min(priorities) >= 2
 
 
-def test_a_report_shows_the_load_of_other_instances_and_own_attempts_are_counted_once():
+def test_load_reports_show_the_load_of_other_instances_without_own_attempts():
     driver = PolicyDriver(engines=3, gateways=200)
     engine = driver.engine(1)
-    # One own request does not stand for those of 200 instances.
+    # Without reports, an engine does not count as loaded by the other 199 instances.
     assert driver.controller.load.engine_load(engine) < 0.5
     driver.report_load(1, cpu=1.0)
     reported_load = driver.controller.load.engine_load(engine)
@@ -88,7 +88,7 @@
     assert only_instance.controller.load.engine_load(only_instance.engine(1)) == 0.0
 
 
-def test_the_work_for_a_request_does_not_grow_with_the_number_of_engines():
+def test_the_cost_of_a_decision_does_not_grow_with_the_number_of_engines():
     load_reads = []
     for engines in (10, 400):
         driver = PolicyDriver(engines=engines, gateways=300)
--- a/tests/test_policy_wait_queue.py
+++ b/tests/test_policy_wait_queue.py
@@ -1,4 +1,4 @@
-"""The wait queue, and the order of requests with one order key."""
+"""The wait queue, and the order of requests that share an order key."""
 
 from dataclasses import replace
 
@@ -13,11 +13,11 @@
 
 
 def request_ids(kind, actions):
-    """Return the ids of the requests that actions of type `kind` are for."""
+    """Return the request ids of the actions of type `kind`."""
     return [action.request for action in actions_of(kind, actions)]
 
 
-def test_a_request_waits_while_an_engine_may_still_come():
+def test_a_request_waits_for_an_engine_to_become_ready():
     driver = PolicyDriver(entries=(api.EngineEntry(1, state=api.State.DRAINING),))
     request_id, actions = driver.submit()
     assert not actions
@@ -32,7 +32,7 @@
     assert 0 < len(driver.controller.scheduler.waiting) <= 500
 
 
-def test_requests_of_one_key_are_sent_one_at_a_time_with_a_pause_after_a_timeout():
+def test_requests_of_an_order_key_run_one_at_a_time_with_a_pause_after_a_timeout():
     driver = PolicyDriver(classes=(ORDERED,), order_pause=0.4)
     first = driver.send_request(key=9)
     second_id, actions = driver.submit(key=9)
@@ -42,27 +42,29 @@
     assert request_ids(api.Send, driver.run(0.3)) == [second_id]
 
 
-def test_an_overdue_unsafe_request_is_failed_early_only_if_others_of_its_key_wait():
-    """An answer that never comes must not hold its key until the client's deadline."""
+def test_an_overdue_unsafe_request_fails_early_only_if_others_of_its_order_key_wait():
+    """A request without an answer must not block its order key until its deadline."""
     driver = PolicyDriver(classes=(replace(ORDERED, deadline=25.0),))
     alone = driver.send_request(key=5)
     overdue = driver.send_request(key=9)
     waiting_id, _ = driver.submit(key=9)
     actions = driver.run(12.0)
-    assert request_ids(api.Fail, actions) == [overdue.request]  # possibly executed: not rejected
+    assert request_ids(api.Fail, actions) == [
+        overdue.request
+    ]  # not rejected, since it may have been executed
     assert request_ids(api.Cancel, actions) == [overdue.request]
     assert alone.request not in request_ids(api.Fail, actions)
     assert request_ids(api.Send, driver.finish(overdue, Result.CANCELLED)) == [waiting_id]
 
 
-def test_a_request_whose_turn_comes_too_late_is_rejected_only_for_one_behind_it():
-    """With more loads of a key than can be executed, each would be begun just before its deadline."""
+def test_a_late_request_is_rejected_only_if_one_behind_it_can_then_end_in_time():
+    """In an overloaded order key, each request would otherwise start just before its deadline."""
     driver = PolicyDriver(classes=(replace(ORDERED, deadline=25.0),))
     first = driver.send_request(key=9, work=0.5)
-    short_id, _ = driver.submit(key=9, work=0.5, ttl=2.5)
-    long_id, _ = driver.submit(key=9, work=0.5, ttl=20.0)
-    assert not actions_of(api.Reject, driver.run(0.1))  # the one behind it has time enough
-    urgent_id, _ = driver.submit(key=9, work=0.1, ttl=2.6)  # in time, but not behind all of those
+    short_id, _ = driver.submit(key=9, work=0.5, timeout=2.5)
+    long_id, _ = driver.submit(key=9, work=0.5, timeout=20.0)
+    assert not actions_of(api.Reject, driver.run(0.1))  # the request behind it has enough time
+    urgent_id, _ = driver.submit(key=9, work=0.1, timeout=2.6)  # in time only without the first
     assert request_ids(api.Reject, driver.run(0.1)) == [short_id]
     sends = actions_of(api.Send, driver.finish(first, work=0.5) + driver.run(0.1))
     assert [send.request for send in sends] == [long_id]
@@ -70,8 +72,8 @@
 
 
 @pytest.mark.parametrize("result", [Result.OK, Result.RESET, Result.ERROR])
-def test_the_next_request_of_a_key_waits_until_the_answer_before_it_was_sent(result):
-    """The engine must not have the next request before the client has the answer."""
+def test_the_next_request_of_an_order_key_waits_for_the_delivery_of_the_last_answer(result):
+    """No engine must have the next request before the client has the last answer."""
     driver = PolicyDriver(classes=(ORDERED,), order_gap=0.02)
     first = driver.send_request(key=7)
     second_id, actions = driver.submit(key=7)
@@ -81,7 +83,7 @@
     assert request_ids(api.Send, driver.run(0.2)) == [second_id]
 
 
-def test_an_answer_sent_before_its_attempt_ended_does_not_block_the_key():
+def test_an_answer_that_is_sent_before_the_end_of_its_attempt_does_not_block_the_key():
     driver = PolicyDriver(classes=(ORDERED,), order_gap=0.02)
     first = driver.send_request(key=7)
     second_id, _ = driver.submit(key=7)
@@ -93,7 +95,7 @@
     assert not driver.controller.attempts.key_queues.blocks
 
 
-def test_a_request_of_unknown_order_is_rejected_and_the_other_waits_for_that_answer():
+def test_a_request_of_unknown_order_is_rejected_and_others_wait_for_its_answer():
     driver = PolicyDriver(classes=(ORDERED,), order_gap=0.02)
     actions = driver.handle(
         api.Request(901, 0, key=7, ttl=4.0, work=0.2, order_unknown=False),
@@ -107,7 +109,7 @@
 
 
 class RecordingRouter(api.Router):
-    """A router that keeps for which requests it was asked whether all zones are saturated."""
+    """A router that records each check for saturated zones."""
 
     def __init__(self):
         self.saturation_checks = []
@@ -117,8 +119,8 @@
         return False
 
 
-def test_the_router_is_also_asked_for_a_request_that_is_too_late():
-    """A router notices by this call that time has passed, and may begin the recovery of a zone."""
+def test_zones_are_also_checked_for_saturation_for_a_late_request():
+    """By this call the router learns the time, and may start the recovery of a zone."""
     router = RecordingRouter()
     controller = AdmissionController(make_settings(), 1, router)
     draining = api.EngineEntry(1, state=api.State.DRAINING)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal sequences of events against an independent checker of the rules that one instance can see."""
+"""Random valid sequences of events, with an independent checker of the rules of one instance."""
 
 from dataclasses import dataclass
 from random import Random
@@ -38,15 +38,15 @@
 STEP_SECONDS = 0.01
 LOADED_STEPS = 1500
 LAST_REQUEST_STEP = 1100
-FINAL_STEPS = 3000  # until all that is in flight has ended
-STALL_STEPS = 400  # between two stalls of the instance
+FINAL_STEPS = 3000  # steps in which all attempts in flight end
+STALL_STEPS = 400  # steps between two stalls of the instance
 STALL_SECONDS = 1.2
-CANCEL_SECONDS = 0.005  # until a cancelled attempt ends
+CANCEL_SECONDS = 0.005  # delay until the end of a cancelled attempt
 
 
 @dataclass
 class AttemptInFlight:
-    """An attempt that ends at `ends_at`; without a result it is drawn at its end."""
+    """An attempt that ends at `ends_at`; a result of None is drawn at its end."""
 
     ends_at: float
     send: api.Send
@@ -63,7 +63,7 @@
 
 
 class RandomScenario:
-    """Random requests, failures, list changes, stalls and reports on a checked controller."""
+    """Random requests, failures, list changes, stalls and load reports for a checked controller."""
 
     def __init__(self, seed):
         settings = SETTINGS[seed % len(SETTINGS)]
@@ -81,7 +81,7 @@
         self.handle(api.EngineList(tuple(self.entries), whole=True))
 
     def handle(self, event):
-        """Hand in an event, and check the actions."""
+        """Handle an event, and check the actions."""
         now = self.driver.now
         if isinstance(event, api.EngineList):
             for entry in event.entries:
@@ -101,7 +101,7 @@
         self._execute(start)
 
     def _execute(self, start):
-        """Check the actions from position `start` of the log on, and execute them."""
+        """Check and execute the actions of the log from position `start` on."""
         for now, action in self.driver.log[start:]:
             self.checker.on_action(now, action)
             if isinstance(action, api.Probe) and self.random.random() < 0.9:  # some are never answered
@@ -128,13 +128,13 @@
                 attempt.result = Result.CANCELLED
 
     def take_due(self, items):
-        """Yield the items that end by now, each after its removal from the list."""
+        """Remove and yield the items that end by now."""
         for item in [item for item in items if item.ends_at <= self.driver.now]:
             items.remove(item)
             yield item
 
     def end_attempts(self, weight_of_ok):
-        """End the attempts that are due; `weight_of_ok` is the weight of a completion among the results."""
+        """End the attempts that are due; `weight_of_ok` is the weight of success among the results."""
         for item in self.take_due(self.attempts):
             result = item.result or self._draw_result(weight_of_ok)
             request_id = item.send.request
@@ -149,7 +149,7 @@
         return self.random.choices(results, [weight_of_ok, 1, 0.5, 0.5, 0.5])[0]
 
     def end_probes(self):
-        """Answer the probes that are due, some with values that are absurd or too few."""
+        """Answer the probes that are due, some with invalid or too few values."""
         for item in self.take_due(self.probes):
             columns = self.driver.settings.report_columns
             values = tuple(self.random.choice([0.5, 3.0, -1.0, 1e9]) for _ in columns)
@@ -160,12 +160,12 @@
             self.handle(api.ProbeResult(item.engine, result, 0.01, report))
 
     def send_peer_message(self):
-        """Hand in a message of random bytes from another instance."""
+        """Handle a message of random bytes from another instance."""
         sender = self.random.randrange(400)
         self.handle(api.PeerMessage(sender, bytes(self.random.randrange(256) for _ in range(9))))
 
     def disconnect_client(self):
-        """Let the client of one of the latest requests leave, if it has no answer yet."""
+        """Disconnect the client of one of the latest requests, if it has no answer yet."""
         request_id = self.random.choice(self.request_ids[-20:])
         if request_id not in self.checker.ended_at:
             self.checker.on_end(self.driver.now, request_id)
@@ -173,13 +173,13 @@
 
     def submit_request(self, request_id):
         """Submit a random request."""
-        cls = self.random.randrange(len(CLASSES))
-        timeout = self.random.choice([CLASSES[cls].deadline, 0.5, 0.03, 0.0])
+        class_index = self.random.randrange(len(CLASSES))
+        timeout = self.random.choice([CLASSES[class_index].deadline, 0.5, 0.03, 0.0])
         self.request_ids.append(request_id)
         self.handle(
             api.Request(
                 request_id,
-                cls,
+                class_index,
                 key=self.random.randrange(3),
                 ttl=timeout,
                 work=self.random.expovariate(2.0),
@@ -197,7 +197,7 @@
         self.handle(api.EngineList((changed,)))
 
     def run_loaded_step(self, step):
-        """Let one step pass under load."""
+        """Run one step under load."""
         self.driver.now += STEP_SECONDS
         if step and step % STALL_STEPS == 0 and self.has_stalls:
             self.driver.now = self.checker.stall_end
@@ -209,7 +209,7 @@
         if self.random.random() < 0.02 and self.request_ids:
             self.disconnect_client()
         if step % STALL_STEPS == STALL_STEPS - 1 and self.has_stalls:
-            # Nothing runs until the end of the stall; what came meanwhile comes at once.
+            # The instance does not run until the end of the stall, and then has all events at once.
             self.checker.stall_start = self.driver.now
             self.checker.stall_end = self.driver.now + STALL_SECONDS
         if step < LAST_REQUEST_STEP and self.random.random() < 0.6:
@@ -218,7 +218,7 @@
             self.change_entry()
 
     def run_final_step(self):
-        """Let one step pass in which attempts only end."""
+        """Run one step without new requests, in which attempts end."""
         self.driver.now += STEP_SECONDS
         self.fire_timers()
         for item in self.take_due(self.attempts):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -172,7 +172,7 @@
 def test_pinned_classes_are_rejected_at_once_with_retry_after_when_home_is_lost():
     driver = ZoneDriver()
     driver.lose(0)
-    _, actions = driver.submit(cls=1, work=30.0)
+    _, actions = driver.submit(class_index=1, work=30.0)
     assert not actions_of(api.Send, actions)
     answers = actions_of(api.Reject, actions + driver.run(4.0))
     assert answers and answers[0].retry_after > 0
