--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -28,24 +28,25 @@
         self.key_queues = containers.SerialQueues(lambda item: item.is_finished and not item.in_flight)
 
     def register(self, pending: PendingRequest) -> None:
-        """Take in a new request."""
+        """Add a new request."""
         self.pending[pending.request.request] = pending
         self._retry_budget.record_ordinary(self._context.now)
         if pending.spec.ordered and pending.request.key:
             self.key_queues.append(pending.request.key, pending)
 
     def has_turn(self, pending: PendingRequest) -> bool:
-        """Return whether a request does not wait for an earlier one with its order key."""
+        """Return whether a request need not wait for an earlier one with its order key."""
         has_order = pending.spec.ordered and pending.request.key
         return not has_order or self.key_queues.has_turn(pending.request.key, pending, self._context.now)
 
     def may_attempt(self, pending: PendingRequest) -> bool:
-        """Return whether a request may have another attempt now, on whatever engine."""
+        """Return whether the rules that do not depend on the engine allow another attempt now."""
         settings = self._context.settings
         now = self._context.now
         if pending.is_finished or pending.is_streaming or now >= pending.deadline:
             return False
-        if len(pending.attempts) >= settings.try_limit or pending.in_flight > settings.parallel_tries:
+        max_in_flight = 1 if settings.parallel_tries else 0
+        if len(pending.attempts) >= settings.try_limit or pending.in_flight > max_in_flight:
             return False
         if pending.is_repeat_forbidden(now) or not self.has_turn(pending):
             return False
@@ -63,9 +64,8 @@
             return False
         now = self._context.now
         is_zone_open = self._context.zone_router.may_take(now, pending.request.cls, entry.zone, pending.work)
-        return is_zone_open and engine.cold_budget_allows(
-            pending.work, now
-        )  # the budget is costly to compute
+        # The budget of a cold engine is checked last, since each check computes it.
+        return is_zone_open and engine.cold_budget_allows(pending.work, now)
 
     def _may_retry(self, pending: PendingRequest) -> bool:
         return pending.is_safely_repeatable() and len(pending.attempts) < self._context.settings.try_limit
@@ -107,7 +107,7 @@
         return next((attempt for attempt in in_flight if attempt.index == event.attempt), None)
 
     def on_outcome(self, event: api.Outcome) -> PendingRequest | None:
-        """Take in the end of an attempt; return its request if that waits for another attempt."""
+        """Handle the end of an attempt; return its request if it needs another attempt."""
         attempt = self._attempt_in_flight(event)
         if attempt is None:
             return None
@@ -154,7 +154,7 @@
             del self._context.engines[engine.entry.engine]
 
     def on_note(self, event: api.Note) -> None:
-        """Take in news of an attempt: memory pressure, or progress that may be too slow."""
+        """Handle a status report on an attempt: record memory pressure, cancel a slow attempt."""
         attempt = self._attempt_in_flight(event)
         if attempt is None:
             return
@@ -169,7 +169,7 @@
                 self._cancel_to_retry(attempt)
 
     def on_answer_sent(self, event: api.AnswerSent) -> None:
-        """Let the next request of an order key start once the client has the answer before it."""
+        """Let the next request of an order key start once this answer is delivered."""
         self.key_queues.pause(event.key, self._context.now + event.delivery_time)
         self._delivery_time = event.delivery_time
         if pending := self.pending.get(event.request):  # one of its attempts is in flight
@@ -178,7 +178,7 @@
             self.key_queues.blocks.discard(event.key, event.request)
 
     def sweep(self, stall: float) -> None:
-        """Answer requests whose time is up and cancel overdue attempts, after a recent stall (s)."""
+        """Answer requests near their deadlines, by the last stall (s), and cancel overdue attempts."""
         for pending in list(self.pending.values()):
             if self._context.now > pending.final_answer_at(stall) and not pending.is_streaming:
                 self.reject_or_fail(pending)
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -71,7 +71,7 @@
         return engine.memory_mb * (1 - peer_share) - engine.attempts.memory
 
     def on_peer_report(self, event: api.PeerLoadReport) -> None:
-        """Take in what a peer has sent to an engine, and the load report that the peer had from it."""
+        """Add what a peer has sent to an engine, and the load report that the peer got from there."""
         if engine := self._context.engines.get(event.engine):
             engine.peer_sends.add(self._context.now, event.threads / engine.cores)
             self._fleet_peer_sends.add(self._context.now, event.threads)
@@ -79,7 +79,7 @@
                 self.apply_report(engine, event.report)
 
     def apply_report(self, engine: Engine, values: tuple[float, ...]) -> None:
-        """Take in a load report of an engine; its values are in the order of the settings' columns."""
+        """Apply a load report of an engine, with its values in the order of the settings' columns."""
         now = self._context.now
         engine.reported_at = now
         readings = estimators.finite_readings(self._context.settings.report_columns, values)
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -20,7 +20,7 @@
         self.probes_before_send = settings.gateways > 1 and self._probes_per_request >= 1
 
     def add_probe_budget(self) -> None:
-        """Add what one request brings in to the probe budget."""
+        """Increase the probe budget for a new request."""
         self._probe_budget = min(self._probe_budget + self._probes_per_request, config.MAX_PROBE_BUDGET)
 
     def needs_probe(self, engine: Engine, pending: PendingRequest) -> bool:
@@ -43,7 +43,7 @@
         return engine.probed_at <= now <= engine.probed_at + config.PROBE_WAIT_SECONDS
 
     def on_attempt_result(self, engine: Engine, attempt: Attempt, result: api.Result) -> None:
-        """Take in how an attempt ended on an engine."""
+        """Update the health of an engine by the result of an attempt there."""
         now = self._context.now
         if result is api.Result.OK:
             engine.succeeded_at = now
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -13,10 +13,10 @@
 
 
 class Route(NamedTuple):
-    """Where a request is sent, if anywhere."""
+    """The engine that a request is sent to, if there is one now."""
 
     engine: Engine | None = None
-    may_open: bool = False  # there is no engine, but a probe in flight may soon show one
+    may_open: bool = False  # without an engine: whether one may be found soon, such as by a probe in flight
 
 
 class Candidate(NamedTuple):
