--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -27,7 +27,7 @@
 
 
 class PendingRequest:
-    """A request that has been taken and has not ended."""
+    """A request that has come in and has not ended."""
 
     def __init__(self, request: api.Request, context: Context, value_factor: float):
         """Create a request that comes in now; `value_factor` is lower beyond its tenant's quota."""
@@ -52,9 +52,9 @@
             self.grant_mb = announced_mb * config.ANNOUNCED_MEMORY_MARGIN
         else:
             self.grant_mb = self.memory_mb * config.EXPECTED_MEMORY_MARGIN
-        self.run_time = self.work / self.spec.threads  # on an idle engine
+        self.run_time = self.work / self.spec.threads  # expected run time on an idle engine
         self.target_at = context.now + self.spec.aim + self.spec.aim_stretch * self.run_time
-        self.value = self.spec.worth * value_factor  # of an answer by `target_at`
+        self.value = self.spec.worth * value_factor  # value of an answer by `target_at`
         # The mean takes the usual work of the class, since one announced estimate can be far off.
         context.value_density.add(self.value, self.stats.work.mean.value)
         density = context.value_density.density(self.value, self.work)
@@ -82,7 +82,7 @@
         return first is not None and now >= first.sent_at + window
 
     def final_answer_at(self, stall: float) -> float:
-        """Return when it is answered at the latest, after a recent stall of so many seconds."""
+        """Return the time of its final answer, which is earlier after a recent stall (s)."""
         return self.deadline - config.FINAL_ANSWER_MARGIN_SECONDS - min(stall, self.max_stall_margin)
 
     def expected_run_time(self) -> float:
@@ -124,7 +124,7 @@
     """One engine: own attempts in flight, what load reports say, and health."""
 
     def __init__(self, entry: api.EngineEntry, context: Context, initial_debt: float):
-        """Create an engine that has come into the list; `initial_debt` is that of `reset`."""
+        """Create an engine that was added to the list; `initial_debt` is passed on to `reset`."""
         kinds = context.settings.kinds
         kind = kinds[min(entry.kind, len(kinds) - 1)]
         self.context = context
@@ -135,7 +135,7 @@
         self.reset(entry, initial_debt)
 
     def reset(self, entry: api.EngineEntry, initial_debt: float) -> None:
-        """Begin anew after a start of the engine; its cold budget begins with a debt, in seconds of work."""
+        """Reset load and health at a restart; the cold budget starts with a debt, in seconds of work."""
         self.entry = entry
         has_many_peers = self.context.settings.gateways > config.AFFINITY_ENGINES
         decay = config.REPORT_DECAY_MANY_PEERS_SECONDS if has_many_peers else config.REPORT_DECAY_SECONDS
@@ -150,7 +150,7 @@
         self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)
 
     def runs_table_load(self, table_group: float) -> bool:
-        """Return whether an own attempt there loads a group of tables, which blocks their readers."""
+        """Return whether an own attempt on it loads a table group, which blocks the readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
         return any(pending.spec.load and pending.request.tables == table_group for pending in requests)
 
@@ -160,14 +160,14 @@
         return is_ready and not (self.health.on_probation and self.attempts.items)
 
     def capacity_share(self, now: float) -> float:
-        """Return its share of its full capacity, which it reaches at the end of its warm-up."""
+        """Return the share of its full capacity that it has; it grows to 1 during the warm-up."""
         settings = self.context.settings
         age = now - self.entry.started
         is_warm = self.entry.started <= 0 or age >= settings.warm_up * config.WARM_UP_MARGIN
         return 1.0 if is_warm else estimators.quadratic_ramp(age, settings.warm_up, settings.cold_share)
 
     def cold_budget_allows(self, work: float, now: float) -> bool:
-        """Return whether it may get this much work (s) now; there is no limit once it is warm."""
+        """Return whether it may get this much work (s); there is no limit after the warm-up."""
         capacity_share = self.capacity_share(now)
         if self.entry.started <= 0 or capacity_share >= 1.0:
             return True
