--- a/applevale/containers.py
+++ b/applevale/containers.py
@@ -89,13 +89,13 @@
 
     Attributes:
         duration: Expected length of the turn.
-        needed: Time from the start of the turn to the deadline that the item should have at least.
+        needed_time: Time from the start of the turn to the deadline that the item should have at least.
         deadline: Time at which the item must have ended.
         running_for: Time since the start of the turn; None if the item waits.
     """
 
     duration: float
-    needed: float
+    needed_time: float
     deadline: float
     running_for: float | None
 
@@ -131,8 +131,9 @@
     def has_turn(self, key: Hashable, item: Item, now: float) -> bool:
         """Return whether an item may run at `now` (s)."""
         self.drop_ended(key)
-        is_first = self.queues.get(key, (None,))[0] is item and key not in self.blocks
-        return is_first and self.paused_until.get(key, -inf) <= now
+        is_first = self.queues.get(key, (None,))[0] is item
+        is_pause_over = self.paused_until.get(key, -inf) <= now
+        return is_first and is_pause_over and key not in self.blocks
 
     def drop_ended(self, key: Hashable) -> None:
         """Remove items that have ended from the front of a queue."""
@@ -163,21 +164,28 @@
         """
         for key, queue in list(self.queues.items()):
             turns = [(turn, item) for item in queue if (turn := forecast(item))]
-            yield from self._blocking_turns(max(now, self.paused_until.get(key, -inf)), turns)
+            start = max(now, self.paused_until.get(key, -inf))
+            yield from self._blocking_turns(start, turns)
         self.paused_until = {key: until for key, until in self.paused_until.items() if until > now}
 
     def _blocking_turns(self, start: float, turns: list[tuple[TurnForecast, Item]]) -> Iterator[Item]:
-        late: list[Item] = []
-        time_lost = 0.0
+        """Yield the late items of one queue whenever an item behind them is in time only without them.
+
+        Args:
+            start: Time (s) at which the first turn can start.
+            turns: Expected turns of the queue, in order, each with its item.
+        """
+        late_items: list[Item] = []
+        late_duration = 0.0  # duration of the turns of late items, which `start` does not include
         for turn, item in turns:
             if turn.running_for is not None:
                 start += max(0.0, turn.duration - turn.running_for)
-            elif start + turn.needed > turn.deadline:
-                late.append(item)
-                time_lost += turn.duration
+            elif start + turn.needed_time > turn.deadline:
+                late_items.append(item)
+                late_duration += turn.duration
             else:
-                if start + turn.needed + time_lost > turn.deadline:
-                    yield from late
+                if start + turn.needed_time + late_duration > turn.deadline:
+                    yield from late_items
                 start += turn.duration
 
 
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -193,8 +193,8 @@
         running_for = self._context.now - pending.attempts[-1].running_since if pending.in_flight else None
         run_time = pending.expected_run_time()
         duration = run_time + self._delivery_time
-        needed = config.ORDER_KEY_RUN_TIMES * run_time
-        return containers.TurnForecast(duration, needed, pending.deadline, running_for)
+        needed_time = config.ORDER_KEY_RUN_TIMES * run_time
+        return containers.TurnForecast(duration, needed_time, pending.deadline, running_for)
 
     def overdue_after(self, attempt: Attempt) -> float:
         """Return the run time (s) from which an attempt is overdue; it grows with the scatter."""
