--- a/applevale/estimators.py
+++ b/applevale/estimators.py
@@ -79,16 +79,16 @@
 class LogisticModel:
     """An online logistic regression of the probability of an outcome on features."""
 
-    def __init__(self, weights: Iterable[float], step: float, max_weight: float):
+    def __init__(self, weights: Iterable[float], learning_rate: float, max_weight: float):
         """Create a model.
 
         Args:
             weights: Initial weights, one for each feature.
-            step: Learning rate.
+            learning_rate: Factor of the gradient in each step.
             max_weight: Bound of the absolute value of each weight.
         """
         self.weights = list(weights)
-        self.step = step
+        self.learning_rate = learning_rate
         self.max_weight = max_weight
 
     def predict(self, features: Sequence[float]) -> float:
@@ -97,7 +97,7 @@
 
     def learn(self, features: Sequence[float], outcome: bool) -> None:
         """Learn whether the outcome occurred."""
-        step = self.step * (outcome - self.predict(features))
+        step = self.learning_rate * (outcome - self.predict(features))
         limit = self.max_weight
         self.weights = [
             max(-limit, min(limit, weight + step * value)) for weight, value in zip(self.weights, features)
@@ -121,6 +121,13 @@
 
     It is an online linear regression of the logarithms. Where nothing was announced, it predicts the mean of
     the needed quantities.
+
+    Attributes:
+        mean: Mean of the needed quantities.
+        announced_log: Mean logarithm of the announced quantities.
+        excess: Mean logarithm of the ratio of needed to announced quantities.
+        variance: Variance of the logarithms of the announced quantities.
+        covariance: Covariance of the logarithms of the announced and the needed quantities.
     """
 
     def __init__(self, mean: float, max_ratio: float):
@@ -136,7 +143,8 @@
         """Return the quantity that is expected to be needed; `announced` is 0 or less if unknown."""
         if announced <= 0:
             return self.mean.value
-        slope = min(max(self.covariance.value / max(self.variance.value, MIN_VARIANCE), 0.0), 1.0)
+        variance = max(self.variance.value, MIN_VARIANCE)
+        slope = min(max(self.covariance.value / variance, 0.0), 1.0)
         offset = log(announced) - self.announced_log.value if self.announced_log.count else 0.0
         return announced * exp(self.excess.value - (1 - slope) * offset)
 
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -32,7 +32,7 @@
 
 
 def test_a_logistic_model_learns_within_its_bounds():
-    model = LogisticModel((0.0, 0.0), step=0.5, max_weight=2.0)
+    model = LogisticModel((0.0, 0.0), learning_rate=0.5, max_weight=2.0)
     assert model.predict((1.0, 1.0)) == 0.5
     for _ in range(100):
         model.learn((1.0, 1.0), True)
