--- a/applevale/dispatch/stall_monitor.py
+++ b/applevale/dispatch/stall_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the event loop for stalls, after which the order of requests is unknown for a while."""
+"""Detects stalls of the event loop, after which the order of accumulated requests is unknown."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class StallMonitor:
-    """Holds the requests with an ordering key back after a stall, until what accumulated has been read.
+    """Holds back requests with an order key after a stall, until all accumulated data has been read.
 
     Attributes:
-        arrival_order: The order in which requests arrived.
-        order_known: Cleared by a stall of the loop, and set once all that accumulated has been read. Requests
-            with an ordering key wait for it.
-        source_listings: Functions that list sources of requests, each with whether it is readable.
+        arrival_order: The order of arrivals, as far as it is known.
+        order_known: Cleared by a stall, and set once all data that accumulated during it has been read.
+            Requests with an order key wait for it.
+        readable_source_providers: Functions that return the sources that have something to read.
     """
 
     def __init__(self, clock: UnixClock, counters: Counters) -> None:
-        """Create a monitor that does not watch yet; `counters` counts stalls."""
+        """Create a monitor that is not started; it counts stalls in `counters`."""
         self.arrival_order = ArrivalOrder()
         self.order_known = asyncio.Event()
         self.order_known.set()
-        self.source_listings: list[Callable[[], list[tuple[Source, bool]]]] = []
+        self.readable_source_providers: list[Callable[[], list[Source]]] = []
         self._clock = clock
         self._counters = counters
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to watch the loop."""
+        """Begin to monitor the running loop."""
         self._tick()
 
     def stop(self) -> None:
-        """Stop watching the loop."""
+        """Stop monitoring the loop."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -51,7 +51,7 @@
 
     def _all_caught_up(self) -> bool:
         return all(
-            self.arrival_order.is_caught_up(source, readable)
-            for list_sources in self.source_listings
-            for source, readable in list_sources()
+            self.arrival_order.is_caught_up(source, True)
+            for readable_sources in self.readable_source_providers
+            for source in readable_sources()
         )
--- a/applevale/server/__init__.py
+++ b/applevale/server/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: MessagePack-RPC over TCP."""
+"""The MessagePack-RPC server for clients: connections, protocol, validation of requests."""
--- a/applevale/server/connection.py
+++ b/applevale/server/connection.py
@@ -1,4 +1,7 @@
-"""A client's connection: one task reads and owns it; whatever goes wrong on it ends with it."""
+"""The connection of one client, independent of the messages on it.
+
+One task reads and closes each connection. An error on a connection ends that connection and no other.
+"""
 
 from __future__ import annotations
 
@@ -19,39 +22,45 @@
 from .connection_table import ConnectionTable
 from .rpc import MAX_MESSAGE_BYTES, RECEIVE_BUFFER_BYTES, MalformedMessageError, MessageDecoder
 
-WRITE_STALL_TIMEOUT_SECONDS = 30.0  # no client waits longer for a response
-# For the first message of a connection, and for each further one from its first byte on.
+# A connection whose client reads nothing for this long is closed. No client waits longer for a response.
+WRITE_STALL_TIMEOUT_SECONDS = 30.0
+
+# Timeout of a message. It starts when a connection is accepted for the first message, and with the first byte
+# for each further one.
 MESSAGE_TIMEOUT_SECONDS = 2.0
-LINGER_TIMEOUT_SECONDS = 0.5  # for a client to read the last responses before its connection is closed
-# For each invalid request, a pause before the connection is read again.
+
+# How long a connection stays open after an error, so that the client can read the last responses.
+LINGER_TIMEOUT_SECONDS = 0.5
+
+# Reading pauses after an invalid request. Each further one lengthens the pause by the minimum.
 MIN_ERROR_BACKOFF_SECONDS = 0.05
 MAX_ERROR_BACKOFF_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class OpenCall:
-    """A call without a response: its request, and the task that handles it."""
+    """A call that has no response yet, with the task that handles it."""
 
     task: asyncio.Task
     request: Request
 
 
 class ClientConnection(ABC):
-    """Reads messages from a socket, writes to it, and closes it; a subclass handles the messages.
+    """Reads messages from a socket, queues responses, and closes the socket. Subclasses handle messages.
 
     Attributes:
         sock: The connected socket.
-        source: The socket as a source of requests whose order matters.
-        write_queue: What is to be written.
-        calls: Calls without a response, by their message ids.
-        unread_bytes: Bytes of an incomplete message.
+        source: The socket as a source of ordered requests.
+        write_queue: Responses that wait to be written.
+        calls: Calls that have no response yet, by message id.
+        incomplete_bytes: Number of received bytes that belong to an incomplete message.
         invalid_requests: Number of invalid requests so far.
     """
 
     def __init__(
         self,
         sock: socket.socket,
-        arrived_since: float,
+        earliest_arrival: float,
         table: ConnectionTable,
         driver: EventLoopDriver,
         counters: Counters,
@@ -60,18 +69,18 @@
 
         Args:
             sock: The accepted socket.
-            arrived_since: Nothing can have arrived before this time, by the driver's clock.
+            earliest_arrival: Earliest time, by the driver's clock, at which data can have arrived.
             table: All connections of the server.
-            driver: Has the clock, and the order of arrivals.
-            counters: Counts how connections end.
+            driver: Provides the clock and the order of arrivals.
+            counters: Counters of the ways in which connections end.
         """
         self.sock = sock
-        self.source = Source(arrived_since)
+        self.source = Source(earliest_arrival)
         self.write_queue = WriteQueue(sock, WRITE_STALL_TIMEOUT_SECONDS, self.stop)
         self.calls: dict[int, OpenCall] = {}
-        self.unread_bytes = 0
+        self.incomplete_bytes = 0
         self.invalid_requests = 0
-        self._arrived_since = arrived_since  # what was read last cannot have arrived before
+        self._earliest_arrival = earliest_arrival  # of the bytes that were read last
         self._table = table
         self._driver = driver
         self._counters = counters
@@ -84,57 +93,57 @@
         """Handle a decoded message.
 
         Raises:
-            ValueError: The message violates the protocol, which ends the connection.
+            ValueError: The message violates the protocol. The connection is closed.
         """
 
     @abstractmethod
     def abandon_responses(self) -> None:
-        """Note that responses which are not written yet will reach no one."""
+        """Release what waits for the delivery of responses that were not written before the close."""
 
     @property
     def is_busy(self) -> bool:
-        """Whether a call is open, or a response is not yet written."""
+        """Whether a call has no response yet, or a response is still being written."""
         return bool(self.calls or self.write_queue.pending_bytes)
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes held for the connection that its client could take or complete."""
-        return self.write_queue.pending_bytes + self.unread_bytes
+        """Bytes of unwritten responses and incomplete messages, which only the client can reduce."""
+        return self.write_queue.pending_bytes + self.incomplete_bytes
 
     def has_pending_input(self) -> bool:
-        """Return whether the client has begun a message that is not handled yet.
+        """Return whether the client has begun to send a message that is not handled yet.
 
-        Closed then, the connection would take a request with it that never gets a response.
+        Closing the connection now would drop a request that then never gets a response.
         """
-        return bool(self.unread_bytes or self._decoder.buffer[0]) or self._status.has_events()
+        return bool(self.incomplete_bytes or self._decoder.buffer[0]) or self._status.has_events()
 
     def is_client_gone(self) -> bool:
-        """Return whether the client has hung up, even if that is not read yet.
+        """Return whether the client has hung up, even if the end of the stream has not been read yet.
 
-        The end of a connection may be unread while the event loop is late, or during an error backoff.
+        It stays unread while the event loop is late and during an error backoff.
         """
         return self._status.is_hung_up()
 
     def error_backoff(self) -> float:
-        """Return the seconds for which nothing is read after invalid requests.
+        """Return the pause in seconds before the connection is read again after an invalid request.
 
-        With open calls it is short, so that it is noticed soon when their client hangs up.
+        The pause stays short while calls are open, so that a hang-up of their client is noticed soon.
         """
         maximum = MIN_ERROR_BACKOFF_SECONDS if self.calls else MAX_ERROR_BACKOFF_SECONDS
         return min(MIN_ERROR_BACKOFF_SECONDS * self.invalid_requests, maximum)
 
     def stop(self, reason: str) -> None:
-        """Close the connection at once, with its open calls; an empty reason is not logged."""
+        """Close the connection at once and cancel its open calls; an empty reason is not logged."""
         if reason:
             log_event("client", reason)
-        self._table.release_bytes(self.write_queue.discard() + self.unread_bytes)
-        self.unread_bytes = 0
+        self._table.release_bytes(self.write_queue.discard() + self.incomplete_bytes)
+        self.incomplete_bytes = 0
         task = self._table.detach(self)
         if task is not None:
             task.cancel()
 
     async def run(self) -> None:
-        """Read and handle messages until the connection ends, and close it."""
+        """Read and handle messages until the connection ends, then close it."""
         try:
             self.sock.setblocking(False)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -172,20 +181,20 @@
                 return
             if self._handle_received(size, read_started_at):
                 message_deadline = None
-            if self.unread_bytes and message_deadline is None:
+            if self.incomplete_bytes and message_deadline is None:
                 message_deadline = loop.time() + MESSAGE_TIMEOUT_SECONDS
             if self.invalid_requests:
                 await asyncio.sleep(self.error_backoff())
 
     def _handle_received(self, size: int, read_started_at: float) -> bool:
-        """Handle the messages that are complete with `size` received bytes; return whether there is one.
+        """Handle the messages that `size` more bytes complete; return whether there were any.
 
         Raises:
-            MalformedMessageError: The incomplete message is too long.
+            MalformedMessageError: The incomplete message exceeds MAX_MESSAGE_BYTES.
         """
         received_at = self._driver.now()
         is_drained = size < RECEIVE_BUFFER_BYTES
-        self._arrived_since = self.source.record_read(
+        self._earliest_arrival = self.source.record_read(
             read_started_at, self._driver.stall_monitor.arrival_order.polled_at, is_drained
         )
         is_any_complete = False
@@ -193,27 +202,28 @@
             is_any_complete = True
             self.handle_message(message, received_at)
         if is_any_complete:
-            self._table.mark_idle(self)
+            self._table.update_idle(self)
         incomplete_bytes = self._decoder.incomplete_bytes
-        self._table.add_bytes(incomplete_bytes - self.unread_bytes)
-        self.unread_bytes = incomplete_bytes
-        if incomplete_bytes > MAX_MESSAGE_BYTES:  # nested arrays, which no other limit counts
-            raise MalformedMessageError("the message is too long")
+        self._table.add_bytes(incomplete_bytes - self.incomplete_bytes)
+        self.incomplete_bytes = incomplete_bytes
+        if incomplete_bytes > MAX_MESSAGE_BYTES:  # the decoder's own limits do not cover nested arrays
+            raise MalformedMessageError(f"message: over the limit of {MAX_MESSAGE_BYTES} bytes")
         return is_any_complete
 
     def _on_message_overdue(self, reader: asyncio.Task) -> None:
-        """End a connection whose client sends nothing, or does not complete a message.
+        """Cancel the reader of a connection whose client has not completed a message in time.
 
-        If the rest has arrived in this iteration, or while the event loop was late, it is read first.
+        Data that arrived in this loop iteration, or while the loop was late, is read first instead.
         """
         if not (self._decoder.buffer[0] or self._status.has_events()):
             self._is_message_overdue = True
             reader.cancel()
 
     async def _linger(self) -> None:
-        """Write what is left, and wait a little for the client to read it and to hang up.
+        """Write the queued responses, then wait briefly for the client to read them and hang up.
 
-        A connection that is closed with bytes unread is reset, which can take a response with it.
+        The kernel resets a connection that is closed with unread bytes, and a reset can destroy responses
+        that the client has not read yet.
         """
         self._cancel_calls()
         loop = asyncio.get_running_loop()
@@ -222,14 +232,15 @@
             async with asyncio.timeout(LINGER_TIMEOUT_SECONDS):
                 await self.write_queue.flush()
                 self.sock.shutdown(socket.SHUT_WR)
-                for _ in range(MAX_MESSAGE_BYTES // RECEIVE_BUFFER_BYTES):  # a client that floods is reset
+                # A client that keeps sending beyond one message is reset.
+                for _ in range(MAX_MESSAGE_BYTES // RECEIVE_BUFFER_BYTES):
                     if not await loop.sock_recv_into(self.sock, buffer):
                         break
         except (OSError, TimeoutError):
             pass
 
     def _cancel_calls(self) -> None:
-        """Cancel all calls: the client has hung up, or can get no response."""
+        """Cancel all calls, whose responses can no longer reach the client."""
         for call in self.calls.values():
             call.task.cancel()
 
--- a/applevale/server/connection_table.py
+++ b/applevale/server/connection_table.py
@@ -1,4 +1,4 @@
-"""The open connections of a server: which of them are idle, the limits that they share, and their drain."""
+"""The open connections of a server: idle ones, shared limits, eviction and drain."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class ConnectionTable:
-    """All connections of a server, within a maximum number of them and of bytes buffered for them.
+    """All connections of a server, with limits on their number and on the bytes buffered for them.
 
     Attributes:
-        silent: Connections without a complete message yet, in order, and when each was accepted.
-        idle: Connections whose messages are all answered, in order, and when each became idle.
-        buffered_bytes: Bytes of messages, statements and responses held for all connections.
-        drain_state: Whether clients are sent elsewhere, and until when their requests are accepted.
+        silent: Connections on which no message is complete yet, oldest first, with the time of their accept.
+        idle: Connections whose messages all have responses, longest idle first, with the time since when.
+        buffered_bytes: Bytes of messages, statements and responses buffered for all connections.
+        drain_state: Whether a drain is in progress, and from when it rejects requests.
     """
 
     def __init__(self, max_connections: int, max_buffered_bytes: int, counters: Counters):
         """Create an empty table.
 
         Args:
-            max_connections: Number of connections above which idle ones are closed for new ones.
-            max_buffered_bytes: Bytes above which the connection that holds most of them is closed.
-            counters: Counts evicted and slow connections, and drains.
+            max_connections: Number of connections at which an idle one is evicted for each new one.
+            max_buffered_bytes: Limit above which the connection with the most buffered bytes is closed.
+            counters: Counters of evicted connections, slow connections and drains.
         """
         self.silent: dict[ClientConnection, float] = {}
         self.idle: dict[ClientConnection, float] = {}
@@ -50,29 +50,29 @@
         return len(self._tasks)
 
     def __contains__(self, connection: object) -> bool:
-        """Return whether a connection is open."""
+        """Return whether a connection is in the table."""
         return connection in self._tasks
 
     def add(self, connection: ClientConnection, task: asyncio.Task, accepted_at: float) -> None:
-        """Add a connection that is served by `task`; `accepted_at` is by the event loop's clock."""
+        """Add a connection, the task that serves it, and its accept time by the event loop's clock."""
         self.silent[connection] = accepted_at
         self._tasks[connection] = task
         if self.drain_state.is_active:
             self._schedule_close_of_silent(connection, accepted_at)
 
     def detach(self, connection: ClientConnection) -> asyncio.Task | None:
-        """Remove a connection that is being closed; return its task if it was still open."""
+        """Remove a connection that is being closed; return its task, or None if it was removed before."""
         task = self._tasks.pop(connection, None)
-        self.mark_idle(connection)
+        self.update_idle(connection)
         return task
 
     def remove(self, connection: ClientConnection) -> None:
-        """Remove a connection whose task has ended, and let another one in."""
+        """Remove a connection whose task has ended, and let the listener accept another one."""
         self.detach(connection)
         self._capacity_changed.set()
 
-    def mark_idle(self, connection: ClientConnection) -> None:
-        """Update whether a connection is idle; an idle one becomes the last in the order of eviction."""
+    def update_idle(self, connection: ClientConnection) -> None:
+        """Update whether a connection is idle; an idle one moves to the end of the eviction order."""
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
         if connection in self._tasks and not connection.is_busy:
@@ -80,26 +80,26 @@
             self.idle[connection] = loop.time()
             self._capacity_changed.set()
             if self.drain_state.is_active:
-                # Later in this iteration: the response that ends a call is queued just after the call is
-                # released, and must not be lost with the connection.
+                # The response to a call is queued right after the call is released. A later callback closes
+                # the connection, so that it sees that response.
                 loop.call_soon(self._close_if_unused, connection)
 
     async def wait_for_capacity(self) -> None:
-        """Wait until a connection can be added, or an idle one closed for it."""
+        """Wait until a connection can be added, if necessary by evicting another one."""
         while len(self._tasks) >= self._max_connections and not (self.silent or self.idle):
             self._capacity_changed.clear()
             await self._capacity_changed.wait()
 
-    def make_room(self, now: float) -> None:
-        """Close an idle connection if there are too many of them."""
+    def evict_if_full(self, now: float) -> None:
+        """Close an idle connection if the maximum number of connections is reached."""
         if len(self._tasks) >= self._max_connections:
-            self._evict_idle(now)
+            self._evict_one(now)
 
-    def _evict_idle(self, now: float) -> None:
-        """Close a silent connection, or else the one that is idle for longest.
+    def _evict_one(self, now: float) -> None:
+        """Close the oldest silent connection, or else the one that has been idle for longest.
 
-        The requests of others would not be read behind clients that stay idle. A connection whose next
-        message has begun to arrive is closed last of all: its client would be reset.
+        Without eviction, idle clients could keep the server from accepting clients that send requests. A
+        connection whose next message has begun to arrive is the last choice, since its client would be reset.
         """
         silent = [
             connection
@@ -114,28 +114,28 @@
             evicted.stop("")
 
     def add_bytes(self, size: int) -> None:
-        """Account for buffered bytes; above the limit, close the connection that holds most of them."""
+        """Count buffered bytes; above the limit, close the connection that holds the most of them."""
         self.buffered_bytes += size
         if self.buffered_bytes > self._max_buffered_bytes and self._tasks:
             slowest = max(self._tasks, key=lambda connection: connection.buffered_bytes)
             self._counters["slow_clients_closed"] += 1
-            slowest.stop("too many buffered bytes")
+            slowest.stop(f"closed: it holds the most of over {self._max_buffered_bytes} buffered bytes")
 
     def release_bytes(self, size: int) -> None:
-        """Account for bytes that are no longer buffered."""
+        """Subtract bytes that are no longer buffered."""
         self.buffered_bytes -= size
 
     @property
     def is_draining(self) -> bool:
-        """Whether clients are sent elsewhere."""
+        """Whether a drain is in progress."""
         return self.drain_state.is_active
 
     def rejects_requests(self, now: float) -> bool:
-        """Return whether a drain has lasted so long that new requests are rejected."""
+        """Return whether a drain rejects the requests that arrive now."""
         return self.drain_state.rejects_requests(now)
 
     def drain(self, accept_for: float) -> None:
-        """Close each connection once it is unused; reject new requests after `accept_for` seconds."""
+        """Begin to close unused connections; reject new requests after `accept_for` seconds."""
         self._counters["drains"] += 1
         self.drain_state.begin(asyncio.get_running_loop().time() + accept_for)
         for connection in list(self.idle):
@@ -144,7 +144,7 @@
             self._schedule_close_of_silent(connection, accepted_at)
 
     def undrain(self) -> None:
-        """End a drain."""
+        """End the drain, if there is one."""
         self.drain_state.end()
 
     def _close_if_unused(self, connection: ClientConnection) -> None:
@@ -156,7 +156,7 @@
             connection.stop("")
 
     def _schedule_close_of_silent(self, connection: ClientConnection, accepted_at: float) -> None:
-        """Close a connection once the first request of its client would have arrived."""
+        """Close a connection after the grace period for the first request of its client."""
         loop = asyncio.get_running_loop()
         loop.call_later(
             self.drain_state.first_request_wait(accepted_at, loop.time()), self._close_if_unused, connection
--- a/applevale/server/context.py
+++ b/applevale/server/context.py
@@ -1,4 +1,4 @@
-"""What the connections of one server share."""
+"""The objects that all connections of one server share."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclass(eq=False)
 class ServerContext:
-    """The parts of a server that each of its connections uses.
+    """Shared objects of a server, as each of its connections uses them.
 
     Attributes:
-        handler: Returns the response to each request.
-        driver: Has the clock, and the order of arrivals.
+        handler: Processes requests.
+        driver: Provides the clock and the order of arrivals.
         schema: The classes and tenants that requests may name.
-        connections: All connections, and the limits that they share.
-        counters: Counts of what comes in and goes out.
-        metrics: Counts of responses for operators, if any.
-        is_ready: Whether probes are answered that new clients are accepted.
-        open_request_ids: Ids of the requests without a response.
+        connections: All connections, with their shared limits.
+        counters: Counters of connections, messages and responses.
+        metrics: Response metrics for operators; None without an operators' endpoint.
+        is_ready: The reply to probes: whether new clients are accepted.
+        open_request_ids: Ids of the requests that have no response yet.
     """
 
     handler: RequestHandler
--- a/applevale/server/limits.py
+++ b/applevale/server/limits.py
@@ -1,4 +1,4 @@
-"""Limits of a server, over all its connections."""
+"""Limits of a server."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """What a server holds at a time.
+    """Limits that apply to all connections of a server together.
 
     Attributes:
-        max_connections: Number of connections.
-        max_buffered_bytes: Bytes of messages, statements and responses.
+        max_connections: Maximum number of open connections.
+        max_buffered_bytes: Maximum number of bytes of buffered messages, statements and responses.
     """
 
     max_connections: int
--- a/applevale/server/listener.py
+++ b/applevale/server/listener.py
@@ -1,4 +1,4 @@
-"""The RPC server: accepts the connections of clients, and stops accepting them."""
+"""The RPC server: the listening socket, and the connections accepted from it."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from .request_parser import RequestSchema
 from .rpc_connection import RpcConnection
 
-ACCEPT_RETRY_SECONDS = 0.01
+ACCEPT_RETRY_SECONDS = 0.01  # pause after a failed accept
 
 
 class RpcServer:
-    """A MessagePack-RPC server; each connection is a task of its own, and so is each request.
+    """A MessagePack-RPC server, with one task for each connection and one for each request.
 
     Attributes:
         connections: The open connections.
-        arrival_source: The listening socket, as a source of requests whose order matters.
+        arrival_source: The listening socket as a source of ordered requests.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         *,
         metrics: Metrics | None = None,
     ):
-        """Create a server that does not accept connections yet.
+        """Create a server; `start` begins to accept connections.
 
         Args:
-            handler: Returns the response to each request.
-            driver: Has the clock, and the order of arrivals.
-            settings: The classes and tenants that requests may name.
-            limits: What is held at a time, over all connections.
-            counters: Counts of what comes in and goes out.
-            metrics: Counts of responses for operators.
+            handler: Processes requests.
+            driver: Provides the clock and the order of arrivals.
+            settings: Settings with the classes and tenants that requests may name.
+            limits: Limits on connections and buffered bytes.
+            counters: Counters of connections, messages and responses.
+            metrics: Response metrics for operators; None to keep none.
         """
         self.connections = ConnectionTable(limits.max_connections, limits.max_buffered_bytes, counters)
         self.arrival_source = Source()
@@ -61,16 +61,16 @@
         self._counters = counters
         self._listener: socket.socket | None = None
         self._accept_task: asyncio.Task | None = None
-        driver.stall_monitor.source_listings.append(self.readable_sources)
+        driver.stall_monitor.readable_source_providers.append(self.readable_sources)
 
     @property
     def open_requests(self) -> int:
-        """Number of requests without a response."""
+        """Number of requests that have no response yet."""
         return len(self._context.open_request_ids)
 
     @property
     def is_ready(self) -> bool:
-        """Whether probes are answered that new clients are accepted."""
+        """The reply to probes: whether new clients are accepted."""
         return self._context.is_ready
 
     @is_ready.setter
@@ -78,11 +78,11 @@
         self._context.is_ready = is_ready
 
     def start(self, listener: socket.socket, listening_since: float = -inf) -> None:
-        """Accept the connections of a non-blocking listening socket, which the server closes.
+        """Begin to accept connections from a listening socket.
 
         Args:
-            listener: The listening socket.
-            listening_since: No connection can have arrived before this time, by the driver's clock.
+            listener: A non-blocking listening socket, which the server closes.
+            listening_since: Earliest time, by the driver's clock, at which a connection can have arrived.
         """
         self.arrival_source.read_up_to = listening_since
         self._accept_task = asyncio.create_task(self._accept_connections(listener))
@@ -93,13 +93,13 @@
         accept_queue.register(listener, select.POLLIN)
         while True:
             wait_started_at = self._driver.now()
-            await self.connections.wait_for_capacity()  # meanwhile clients wait in the kernel's queue
+            await self.connections.wait_for_capacity()  # clients wait in the accept queue
             try:
                 await self._wait_until_readable(listener)
                 sock, _ = listener.accept()
-            except BlockingIOError:  # the client has gone
+            except BlockingIOError:  # the client has disconnected
                 continue
-            except OSError as error:  # for example without a free descriptor
+            except OSError as error:  # for example, no file descriptor is free
                 log_event("accept", str(error))
                 await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
@@ -107,10 +107,10 @@
 
     @staticmethod
     async def _wait_until_readable(listener: socket.socket) -> None:
-        """Wait until a connection can be accepted.
+        """Wait until a connection can be accepted, without accepting it.
 
-        The accept itself does not wait: cancelled by a shutdown in the same iteration of the event loop, it
-        would lose the connection. This way the connection stays in the kernel's queue.
+        `loop.sock_accept` would lose the connection if a shutdown cancelled it in the loop iteration in which
+        it completes. With a separate wait the connection stays in the accept queue.
         """
         loop = asyncio.get_running_loop()
         readable = loop.create_future()
@@ -121,26 +121,26 @@
             loop.remove_reader(listener)
 
     def accept_connection(self, sock: socket.socket, wait_started_at: float, is_queue_empty: bool) -> None:
-        """Serve an accepted connection in a task of its own.
+        """Start a task that serves an accepted connection.
 
         Args:
-            sock: The connection.
-            wait_started_at: When the wait for it began, by the driver's clock.
-            is_queue_empty: Whether no further connection waited in the kernel's queue.
+            sock: The connected socket.
+            wait_started_at: Time, by the driver's clock, at which the wait for the connection began.
+            is_queue_empty: Whether the accept queue was empty afterwards.
         """
         self._counters["connections"] += 1
         now = asyncio.get_running_loop().time()
-        self.connections.make_room(now)
+        self.connections.evict_if_full(now)
         polled_at = self._driver.stall_monitor.arrival_order.polled_at
-        arrived_since = self.arrival_source.record_read(wait_started_at, polled_at, is_queue_empty)
-        connection = RpcConnection(self._context, sock, arrived_since)
+        earliest_arrival = self.arrival_source.record_read(wait_started_at, polled_at, is_queue_empty)
+        connection = RpcConnection(self._context, sock, earliest_arrival)
         self.connections.add(connection, asyncio.create_task(connection.run()), now)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket, after the connections in its queue are accepted.
+        """Accept the connections in the accept queue, then close the listening socket.
 
-        Those would be reset. From then on the kernel gives new connections to another process that listens on
-        the same address, if there is one.
+        Closing the socket would reset the connections in the queue. Afterwards the kernel passes new
+        connections to another process that listens on the same address, if there is one.
         """
         listener = self._listener
         self._listener = None
@@ -151,32 +151,32 @@
         while True:
             try:
                 sock, _ = listener.accept()
-            except OSError:  # none is left, or it has gone already
+            except OSError:  # the queue is empty, or the client has disconnected
                 break
             sock.setblocking(False)
             self.accept_connection(sock, self._driver.now(), False)
         listener.close()
 
-    def readable_sources(self) -> list[tuple[Source, bool]]:
-        """Return the sources of requests that have something to read, each with True."""
+    def readable_sources(self) -> list[Source]:
+        """Return the sockets that have something to read, as sources of ordered requests."""
         sources = {connection.sock.fileno(): connection.source for connection in self.connections}
         if self._listener is not None:
             sources[self._listener.fileno()] = self.arrival_source
-        sources.pop(-1, None)  # a socket that is closed
+        sources.pop(-1, None)  # closed sockets
         poll = select.poll()
         for descriptor in sources:
             poll.register(descriptor, select.POLLIN)
-        return [(sources[descriptor], True) for descriptor, _ in poll.poll(0)]
+        return [sources[descriptor] for descriptor, _ in poll.poll(0)]
 
     @property
     def is_draining(self) -> bool:
-        """Whether clients are sent elsewhere."""
+        """Whether a drain is in progress."""
         return self.connections.is_draining
 
     def drain(self, accept_for: float = ACCEPT_SECONDS) -> None:
-        """Send clients elsewhere: finish open calls, and accept requests for `accept_for` more seconds."""
+        """Begin to close unused connections; reject new requests after `accept_for` seconds."""
         self.connections.drain(accept_for)
 
     def undrain(self) -> None:
-        """End a drain."""
+        """End the drain, if there is one."""
         self.connections.undrain()
--- a/applevale/server/request_parser.py
+++ b/applevale/server/request_parser.py
@@ -1,4 +1,4 @@
-"""Validation of the calls of clients: from the fields of a call to a request."""
+"""Validation of requests: from the fields of an RPC call to a `Request`."""
 
 from __future__ import annotations
 
@@ -12,19 +12,23 @@
 from .rpc import RequestCall
 from .statement import table_group
 
-MAX_TIMEOUT_FACTOR = 1.1  # of the class's deadline: a longer timeout does not belong to the class
-# Far beyond any engine, and still without effect on the estimates that all requests share.
+# Largest timeout of a request, as a multiple of its class's deadline.
+MAX_TIMEOUT_FACTOR = 1.1
+# Limits on a client's estimates: far more than any engine provides, yet too little to distort the averages
+# that all requests share.
 MAX_ESTIMATED_WORK_MS = 1e8
 MAX_ESTIMATED_MEMORY_MB = 1e7
 MAX_ORDER_KEY = 2**64 - 1
+MAX_QUOTED_CHARACTERS = 40  # of a field's value, in an error message
 
 _REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}")
-_IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:-]{0,128}")  # it is passed on among an engine's fields
+# Idempotency keys are sent to engines in comma-separated fields, so they must not contain `,` or `=`.
+_IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_.:-]{0,128}")
 _CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 
 
 class InvalidRequestError(ValueError):
-    """A request cannot be used: it is answered with an error."""
+    """A request has a missing or invalid field; the client gets an error response."""
 
 
 @dataclass(frozen=True)
@@ -32,9 +36,9 @@
     """The classes and tenants that the settings define.
 
     Attributes:
-        specs: The classes, by their index.
-        classes: Index of each class, by its name.
-        tenants: Index of each tenant, by its name.
+        specs: The classes in the order of the settings.
+        classes: Index of each class by name.
+        tenants: Index of each tenant by name.
     """
 
     specs: tuple[api.ClassSpec, ...]
@@ -43,7 +47,7 @@
 
     @classmethod
     def from_settings(cls, settings: api.Settings) -> RequestSchema:
-        """Return the schema of a deployment."""
+        """Return the schema for the classes and tenants of the settings."""
         classes = {spec.name: index for index, spec in enumerate(settings.classes)}
         tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         return cls(settings.classes, classes, tenants)
@@ -55,16 +59,16 @@
     received_at: float,
     is_client_gone: Callable[[], bool] = client_is_present,
 ) -> Request:
-    """Return the request in a call.
+    """Return the request that a call carries.
 
     Args:
         schema: The classes and tenants that exist.
-        call: The call of a client.
-        received_at: When it was read, by the driver's clock.
+        call: A call that names a class of requests.
+        received_at: When the call was read, by the driver's clock.
         is_client_gone: Returns whether the client has hung up.
 
     Raises:
-        InvalidRequestError: A field is missing or invalid; the text names it.
+        InvalidRequestError: A field is missing or invalid; the message names it.
     """
     class_index = _parse_class(call.method, schema)
     fields, statement = _split_params(call.params)
@@ -87,10 +91,15 @@
     )
 
 
+def _quote(value: object) -> str:
+    """Return the start of a field's value in quotes, for an error message."""
+    return "nothing" if value is None else repr(str(value)[:MAX_QUOTED_CHARACTERS])
+
+
 def _parse_class(method: str, schema: RequestSchema) -> int:
-    """Return the index of the class that a method names."""
+    """Return the index of the class that is named by the method."""
     if method not in schema.classes:
-        raise InvalidRequestError(f"unknown class {method[:40]!r}")
+        raise InvalidRequestError(f"method: {_quote(method)} is not a class of the settings")
     return schema.classes[method]
 
 
@@ -99,13 +108,13 @@
     match params:
         case [dict(fields), bytes(statement)]:
             return fields, statement
-    raise InvalidRequestError("fields and a body are needed")
+    raise InvalidRequestError("params: [fields as a map, statement as bytes] expected")
 
 
 def _parse_request_id(fields: dict) -> bytes:
     request_id = fields.get("ref")
     if not isinstance(request_id, str) or not _REQUEST_ID.fullmatch(request_id):
-        raise InvalidRequestError("ref")
+        raise InvalidRequestError(f"ref: 16 hexadecimal digits expected, not {_quote(request_id)}")
     return request_id.encode()
 
 
@@ -119,24 +128,29 @@
     except ValueError:
         value = nan
     if not 0 <= value <= maximum:
-        raise InvalidRequestError(f"{name}: {str(raw)[:40]!r}")
+        raise InvalidRequestError(f"{name}: a number from 0 to {maximum:g} expected, not {_quote(raw)}")
     return value
 
 
 def _parse_order_key(fields: dict) -> int:
+    raw = fields.get("lookup", "")
     try:
-        key = int(fields.get("lookup", ""), 16)
+        key = int(raw, 16)
     except (TypeError, ValueError):
         key = 0
     if not 0 < key <= MAX_ORDER_KEY:
-        raise InvalidRequestError("lookup: missing or out of range")
+        raise InvalidRequestError(
+            f"lookup: a hexadecimal number from 1 to {MAX_ORDER_KEY:x} expected, not {_quote(raw)}"
+        )
     return key
 
 
 def _parse_idempotency_key(fields: dict) -> str:
     key = fields.get("replay", "")
     if not isinstance(key, str) or not _IDEMPOTENCY_KEY.fullmatch(key):
-        raise InvalidRequestError("replay")
+        raise InvalidRequestError(
+            f"replay: up to 128 letters, digits or characters of _.:- expected, not {_quote(key)}"
+        )
     return key
 
 
@@ -145,16 +159,21 @@
     if not schema.tenants or name is None:
         return 0
     if not isinstance(name, str) or name not in schema.tenants:
-        raise InvalidRequestError(f"project: {str(name)[:40]!r}")
+        raise InvalidRequestError(f"project: {_quote(name)} is not a tenant of the settings")
     return schema.tenants[name]
 
 
 def _parse_statement(statement: bytes) -> bytes:
-    """Return the statement if engines can read it: else they close a connection that requests share."""
+    """Return the statement if it is valid text.
+
+    Engines close the connection on any other statement, together with the other requests on it.
+    """
     try:
         text = statement.decode()
     except UnicodeDecodeError:
-        raise InvalidRequestError("the statement is not text") from None
-    if not text.strip() or _CONTROL_CHARACTERS.search(text):
-        raise InvalidRequestError("the statement is not text")
+        raise InvalidRequestError("statement: UTF-8 text expected") from None
+    if not text.strip():
+        raise InvalidRequestError("statement: empty, text expected")
+    if _CONTROL_CHARACTERS.search(text):
+        raise InvalidRequestError("statement: control characters are not allowed")
     return statement
--- a/applevale/server/rpc.py
+++ b/applevale/server/rpc.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC: the typed messages of the protocol, and their encoding."""
+"""MessagePack-RPC: typed messages, their decoding and their encoding."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..requests.model import Completed, Failed, Rejected, Response
 
 MAX_MESSAGE_BYTES = 256 * 1024
-RECEIVE_BUFFER_BYTES = 4096  # for each connection: some stay for good
-MAX_CONTAINER_ITEMS = 64  # in one array or map
+RECEIVE_BUFFER_BYTES = 4096  # held by each connection for as long as it is open
+MAX_CONTAINER_ITEMS = 64  # items of one array or map
 MAX_MESSAGE_ID = 2**32 - 1
 
 _ERROR_FAILED = "Error"
 _ERROR_REJECTED = "Full"
-_FIELD_RETRY_AFTER = "cooldown"  # milliseconds, as a string
+_FIELD_RETRY_AFTER = "cooldown"  # decimal string, milliseconds
 
 
 class _MessageType:
@@ -29,26 +29,26 @@
 
 
 class _Method:
-    """Methods with a meaning of their own; any other names a class of requests."""
+    """Methods of the protocol itself; any other method is the name of a request class."""
 
     PROBE = "probe"
     CANCEL = "giveUp"
 
 
 class MalformedMessageError(ValueError):
-    """A message violates the protocol, which ends the connection."""
+    """A message violates the protocol; the connection is closed."""
 
 
 @dataclass(slots=True)
 class ProbeCall:
-    """Asks whether the server accepts new clients."""
+    """A call that asks whether the server accepts new clients."""
 
     message_id: int
 
 
 @dataclass(slots=True)
 class RequestCall:
-    """Asks for the execution of a request; `method` names its class."""
+    """A call that asks to execute a request; `method` is the name of its class."""
 
     message_id: int
     method: str
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class CancelNotification:
-    """Cancels the call with this message id; no response is expected."""
+    """A notification that cancels the call with this message id; it gets no response."""
 
     message_id: int
 
@@ -69,12 +69,12 @@
     """Decodes the messages in a stream of bytes.
 
     Attributes:
-        buffer: Bytes are received into it. Invariant: its first byte is 0 unless something was received that
-            is not yet decoded; no message begins with 0.
+        buffer: Receive buffer. Invariant: its first byte is not 0 exactly while it holds bytes that are not
+            decoded yet, since no message begins with 0.
     """
 
     def __init__(self) -> None:
-        """Start at the beginning of a stream."""
+        """Create a decoder for a new stream."""
         self.buffer = bytearray(RECEIVE_BUFFER_BYTES)
         self._unpacker = msgpack.Unpacker(
             raw=False,
@@ -88,15 +88,15 @@
 
     @property
     def incomplete_bytes(self) -> int:
-        """Bytes received of a message that is not complete."""
+        """Number of received bytes that belong to an incomplete message."""
         return self._received_bytes - self._last_message_end
 
     def decode(self, size: int) -> Iterator[object]:
-        """Yield the messages that are complete with the first `size` bytes of the buffer.
+        """Yield the messages that the first `size` bytes of the buffer complete.
 
         Raises:
             ValueError: The bytes are not MessagePack, or a message exceeds a limit.
-            msgpack.exceptions.UnpackException: Likewise.
+            msgpack.exceptions.UnpackException: The bytes are not MessagePack.
         """
         unpacker = self._unpacker
         self._received_bytes += size
@@ -108,10 +108,10 @@
 
 
 def parse_call(message: object) -> Call:
-    """Return the call in a decoded message.
+    """Return the call that a decoded message represents.
 
     Raises:
-        MalformedMessageError: The message is none of the known calls.
+        MalformedMessageError: The message is not a call of this protocol.
     """
     match message:
         case [_MessageType.REQUEST, int(message_id), _Method.PROBE, [dict()]]:
@@ -120,17 +120,21 @@
             return RequestCall(message_id, method, params)
         case [_MessageType.NOTIFICATION, _Method.CANCEL, [int(message_id)]]:
             return CancelNotification(message_id)
-    raise MalformedMessageError(f"not a call: a {type(message).__name__}")
+    raise MalformedMessageError(
+        f"message: a request or a notification expected, not a {type(message).__name__}"
+    )
 
 
 def check_message_id(message_id: int, last_message_id: int) -> None:
-    """Check that message ids increase, so that a response belongs to one call.
+    """Check that message ids increase, so that each response belongs to exactly one call.
 
     Raises:
         MalformedMessageError: The id is out of range or not above the last one.
     """
     if isinstance(message_id, bool) or not last_message_id < message_id <= MAX_MESSAGE_ID:
-        raise MalformedMessageError("message ids do not increase")
+        raise MalformedMessageError(
+            f"message id {message_id}: must be above {last_message_id} and at most {MAX_MESSAGE_ID}"
+        )
 
 
 def _encode(message_id: int, error: list | None, result: list | None) -> bytes:
@@ -138,12 +142,12 @@
 
 
 def encode_probe_reply(message_id: int, is_ready: bool) -> bytes:
-    """Return the reply to a probe."""
+    """Return the encoded reply to a probe."""
     return _encode(message_id, None, [is_ready, {}])
 
 
 def encode_response(message_id: int, response: Response) -> bytes:
-    """Return the reply that carries a response."""
+    """Return the encoded reply that carries a response."""
     match response:
         case Completed(rows=rows):
             return _encode(message_id, None, [rows, {}])
@@ -157,5 +161,5 @@
 
 
 def encode_error(message_id: int) -> bytes:
-    """Return the reply to a call that has failed or is invalid."""
+    """Return the encoded reply to a call that failed or is invalid."""
     return _encode(message_id, [_ERROR_FAILED, {}], None)
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -1,4 +1,4 @@
-"""The MessagePack-RPC calls of one connection."""
+"""A client's connection that carries MessagePack-RPC calls."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     parse_call,
 )
 
-MAX_OPEN_CALLS = 32
+MAX_OPEN_CALLS = 32  # on one connection
 
 RESPONSE_COUNTERS = {
     Completed: "answered_served",
@@ -39,18 +39,18 @@
 
 
 class RpcConnection(ClientConnection):
-    """A connection whose messages are MessagePack-RPC; each call is a task of its own."""
+    """A connection whose messages are MessagePack-RPC calls; one task handles each call."""
 
-    def __init__(self, context: ServerContext, sock: socket.socket, arrived_since: float):
+    def __init__(self, context: ServerContext, sock: socket.socket, earliest_arrival: float):
         """Create a connection for an accepted socket; see `ClientConnection`."""
-        super().__init__(sock, arrived_since, context.connections, context.driver, context.counters)
+        super().__init__(sock, earliest_arrival, context.connections, context.driver, context.counters)
         self._context = context
         self._last_message_id = -1
-        # Requests with an order key whose responses are queued and not yet written.
+        # Requests with an order key whose responses are queued but not written yet.
         self._undelivered: set[Request] = set()
 
     def handle_message(self, message: object, received_at: float) -> None:
-        """Handle a message: start a call, cancel one, or reply to a probe.
+        """Start a call, cancel one, or reply to a probe.
 
         Raises:
             MalformedMessageError: The message violates the protocol.
@@ -59,49 +59,52 @@
         match call:
             case ProbeCall():
                 self._counters["probed"] += 1
-                self._take_message_id(call.message_id)
+                self._accept_message_id(call.message_id)
                 self._send(encode_probe_reply(call.message_id, self._context.is_ready))
             case RequestCall():
-                self._take_message_id(call.message_id)
+                self._accept_message_id(call.message_id)
                 self._start_call(call, received_at)
             case CancelNotification():
                 self._cancel_call(call.message_id, received_at)
 
-    def _take_message_id(self, message_id: int) -> None:
+    def _accept_message_id(self, message_id: int) -> None:
         check_message_id(message_id, self._last_message_id)
         self._last_message_id = message_id
 
     def _cancel_call(self, message_id: int, received_at: float) -> None:
         self._counters["given_up"] += 1
         call = self.calls.get(message_id)
-        if call is None:  # its response is on the way
+        if call is None:  # the response is already queued
             return
         waited = received_at - call.request.received_at
         timeout = call.request.timeout
-        log_event("client", f"call {message_id} was cancelled after {waited:.3f} of {timeout:.3f} s")
+        log_event(
+            "client",
+            f"call {message_id} cancelled by the client {waited:.3f} s into its timeout of {timeout:.3f} s",
+        )
         call.task.cancel()
         self._release_call(message_id)
 
     def _start_call(self, call: RequestCall, received_at: float) -> None:
-        """Handle a request in a task of its own, or reply to an invalid one.
+        """Start a task that handles a request, or reply with an error to an invalid one.
 
         Raises:
-            MalformedMessageError: There are too many open calls; a flood costs nothing beyond that.
+            MalformedMessageError: More than MAX_OPEN_CALLS calls would be open.
         """
         context = self._context
         if len(self.calls) >= MAX_OPEN_CALLS:
             self._counters["over_bounds"] += 1
-            raise MalformedMessageError(f"over {MAX_OPEN_CALLS} open requests")
+            raise MalformedMessageError(f"open requests: at most {MAX_OPEN_CALLS} on one connection")
         try:
             request = self._parse_request(call, received_at)
         except InvalidRequestError as error:
-            self._reply_to_invalid(call.message_id, error)
+            self._reply_to_invalid_request(call.message_id, error)
             return
         message_id = call.message_id
         self._counters["taken_" + call.method] += 1
         context.open_request_ids.add(request.request_id)
         task = asyncio.create_task(self._handle_request(message_id, request))
-        # A task that is cancelled before its first step runs no `finally`, so the call ends in a callback.
+        # A `finally` in the task would not run if the task is cancelled before its first step.
         task.add_done_callback(lambda task: self._on_call_end(message_id, task, request))
         self.calls[message_id] = OpenCall(task, request)
         self._table.add_bytes(len(request.statement))
@@ -109,16 +112,17 @@
     def _parse_request(self, call: RequestCall, received_at: float) -> Request:
         context = self._context
         request = parse_request(context.schema, call, received_at, self.is_client_gone)
-        if request.request_id in context.open_request_ids:  # engines would take it for a repetition
-            raise InvalidRequestError("ref: of an open request")
+        if request.request_id in context.open_request_ids:
+            # Engines would take the second request for a repetition of the first.
+            raise InvalidRequestError("ref: the id of a request that is still open, a new one expected")
         if request.order_key and not self._driver.stall_monitor.arrival_order.is_in_order(
-            request.order_key, self.source, self._arrived_since, received_at
+            request.order_key, self.source, self._earliest_arrival, received_at
         ):
             self._counters["unsure_order"] += 1
             request = replace(request, order_unknown=True)
         return request
 
-    def _reply_to_invalid(self, message_id: int, error: InvalidRequestError) -> None:
+    def _reply_to_invalid_request(self, message_id: int, error: InvalidRequestError) -> None:
         self._counters["bad_requests"] += 1
         self.invalid_requests += 1
         log_event("request", str(error))
@@ -132,7 +136,7 @@
                 response = handler.reject()
             else:
                 response = await handler.handle(request)
-        except Exception as error:  # a fault of the program still gets its client a response
+        except Exception as error:  # a bug must not leave the client without a response
             self._counters["broker_errors"] += 1
             log_event("broker", f"{type(error).__name__}: {error}")
             response = Failed()
@@ -141,17 +145,17 @@
 
     def _on_call_end(self, message_id: int, task: asyncio.Task, request: Request) -> None:
         self._counters["clients_gone"] += task.cancelled()
-        if request not in self._undelivered:  # no response is being written
+        if request not in self._undelivered:  # no response is queued
             self._context.handler.on_response_delivered(request)
         self._release_call(message_id)
 
     def _release_call(self, message_id: int) -> None:
-        """Forget a call that has its response, or whose client has cancelled it."""
+        """Remove a call that has its response or was cancelled by the client."""
         call = self.calls.pop(message_id, None)
         if call is not None:
             self._context.open_request_ids.discard(call.request.request_id)
             self._table.release_bytes(len(call.request.statement))
-            self._table.mark_idle(self)
+            self._table.update_idle(self)
 
     def _send_response(self, message_id: int, response: Response, request: Request) -> None:
         self._counters[RESPONSE_COUNTERS[type(response)]] += 1
@@ -160,26 +164,26 @@
         self._send(encode_response(message_id, response), request)
 
     def _send(self, data: bytes, request: Request | None = None) -> None:
-        """Queue a reply; `request` is the one that it responds to, if any."""
+        """Queue an encoded reply; `request` is the request that it responds to, if any."""
         if self.write_queue.closed:
             return
         if request is not None and request.order_key:
             self._undelivered.add(request)
         self.write_queue.put(data, lambda: self._on_written(len(data), request))
-        self._table.mark_idle(self)
+        self._table.update_idle(self)
         self._table.add_bytes(len(data))
 
     def _on_written(self, size: int, request: Request | None) -> None:
         if request in self._undelivered:
             self._on_delivered(request)
         self._table.release_bytes(size)
-        self._table.mark_idle(self)
+        self._table.update_idle(self)
 
     def _on_delivered(self, request: Request) -> None:
         self._undelivered.discard(request)
         self._context.handler.on_response_delivered(request)
 
     def abandon_responses(self) -> None:
-        """Let the next requests of the keys go on whose responses will reach no one."""
+        """Count unwritten responses as delivered, so that the next requests of their order keys can start."""
         for request in list(self._undelivered):
             self._on_delivered(request)
--- a/applevale/server/statement.py
+++ b/applevale/server/statement.py
@@ -1,13 +1,13 @@
-"""Finds the group of tables that a statement reads or writes."""
+"""Finds the table group that a statement reads or writes."""
 
 from __future__ import annotations
 
 import re
 
-# Each alternative consumes a whole string, comment or name, and possessive repeats never backtrack into it:
-# each byte is looked at a bounded number of times, however the statement is malformed.
+# Each alternative matches a whole string, comment, name or number. The possessive quantifiers never
+# backtrack, so the time to scan a statement is linear in its length even if it is malformed.
 _TOKEN = re.compile(
-    rb"'(?:[^'\\]|\\.|'')*+'?"  # a string; one that is not closed reaches to the end
+    rb"'(?:[^'\\]|\\.|'')*+'?"  # an unterminated string extends to the end
     rb"|--[^\n]*+"
     rb"|#[^\n]*+"
     rb"|/\*(?:[^*]|\*(?!/))*+"
@@ -17,16 +17,15 @@
     re.DOTALL,
 )
 _GROUPED_SCHEMA = re.compile(rb"(?P<prefix>.*)_(?P<group>\d{1,9})", re.DOTALL)
-STAGING_SCHEMA = b"staging"  # schemas of this prefix belong to no group
+STAGING_SCHEMA = b"staging"  # schemas with this prefix are in no group, like `staging_5`
 
 
 def table_group(statement: bytes) -> float:
-    """Return the number of the group of tables that a statement uses.
+    """Return the number of the table group that a statement uses, or 0 if it uses none.
 
-    It is the number behind the underscore of the first schema named, as in `sales_17.orders`; 0 if there is
-    none.
+    The number is the suffix of the first schema name that has one: 17 for `sales_17.orders`.
     """
-    is_qualified = False  # the previous name ended in a dot, so this one is not a schema
+    is_qualified = False  # a dot precedes the current name, so it is not a schema
     for token in _TOKEN.finditer(statement):
         name = token["name"]
         if name is None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -444,7 +444,7 @@
         loop = asyncio.get_running_loop()
         connection, client_socket = open_client_connection(setup)
         client_socket.sendall(message[:5])
-        await wait_until(lambda: connection.unread_bytes)
+        await wait_until(lambda: connection.incomplete_bytes)
         client_socket.sendall(rest)
         time.sleep(0.1)
         client_socket.setblocking(False)
@@ -463,7 +463,7 @@
         idle_connection, idle_client = open_client_connection(setup)
         await asyncio.sleep(0)
         for connection in (begun_connection, idle_connection):
-            setup.rpc_server.connections.mark_idle(connection)
+            setup.rpc_server.connections.update_idle(connection)
         begun_client.sendall(b"\x94")
         new_connection, new_client = open_client_connection(setup)
         connections = (begun_connection, idle_connection, new_connection)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -181,7 +181,7 @@
         await site.read_response()
         site.server.connections.drain_state.begin(0.0)
         connection = next(iter(site.server.connections))
-        site.server.connections.mark_idle(connection)  # the drain looks at it in the next loop iteration
+        site.server.connections.update_idle(connection)  # the drain looks at it in the next loop iteration
         site.server.undrain()
         site.send_request(2)
         assert (await site.read_response()).number == 2
