--- a/applevale/dispatch/__init__.py
+++ b/applevale/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Drives the decision module on the event loop: batches of events in, actions out."""
+"""Runs the admission controller on the event loop: passes events in batches, executes its actions."""
--- a/applevale/dispatch/arrival_order.py
+++ b/applevale/dispatch/arrival_order.py
@@ -1,48 +1,51 @@
-"""The order in which requests arrived, as far as reading sockets can tell.
+"""Determines whether requests were read in the order in which they arrived.
 
-An event loop that runs on time reads sockets in the order in which their data arrived. After a stall all that
-has accumulated is read socket by socket, and the order of arrival is lost.
+An event loop that runs on time reads sockets in the order in which their data arrived. After a stall it reads
+the accumulated data socket by socket, and the order of arrival is lost.
 
-No I/O and no clock: times are given, in seconds of one clock. Invariants:
+The module does no I/O and reads no clock. All times are passed in, in seconds of the same clock.
 
-- Everything that arrived at a socket before its `Source.read_up_to` has been read.
-- Every socket that was waited for by `ArrivalOrder.polled_at` was polled after it. A tick runs at the start
-  of a loop iteration and the sockets are polled later in it, so this is the last tick but one.
-- What is read now arrived in (earliest arrival, now], and the earliest arrival is never later than the truth.
+Invariants:
+
+- All data that arrived at a socket before its `Source.read_up_to` has been read.
+- Each socket that was waited for at `ArrivalOrder.polled_at` has been polled after that time. A tick runs at
+  the start of a loop iteration and the sockets are polled later in the iteration, so `polled_at` is the time
+  of the second to last tick.
+- Data that is read now arrived after its earliest arrival time, and no later than now.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-TICK_SECONDS = 0.01  # between two ticks
-MIN_REQUEST_SPACING_SECONDS = 0.05  # clients write requests of one key at least 0.06 s apart
-STALL_SECONDS = TICK_SECONDS + 0.03  # between two ticks, from which what was read may be out of order
-MAX_CATCH_UP_SECONDS = 1.0  # for which requests with a key wait until the rest is read
-KEY_RETENTION_SECONDS = 30.0  # for which the last request of a key is remembered: no loop stalls for longer
+TICK_SECONDS = 0.01  # interval between ticks
+MIN_REQUEST_SPACING_SECONDS = 0.05  # clients send requests with the same key at least 0.06 s apart
+STALL_SECONDS = TICK_SECONDS + 0.03  # interval between two ticks from which requests may be read out of order
+MAX_CATCH_UP_SECONDS = 1.0  # after a stall, how long requests with a key wait for the accumulated data
+KEY_RETENTION_SECONDS = 30.0  # how long the last request of a key is remembered; no stall lasts longer
 
 
 class Source:
-    """A socket on which requests, or connections, arrive.
+    """A socket at which requests or connections arrive.
 
     Attributes:
-        read_up_to: Time up to which everything that arrived has been read.
+        read_up_to: Time up to which all data that arrived has been read.
     """
 
     def __init__(self, read_up_to: float = -inf):
-        """Create a source of which everything up to a time has been read."""
+        """Create a source from which all data up to a time has been read."""
         self.read_up_to = read_up_to
 
-    def record_read(self, waited_since: float, polled_at: float, emptied: bool) -> float:
-        """Return the earliest time at which what was just read may have arrived.
+    def record_read(self, wait_started_at: float, polled_at: float, emptied: bool) -> float:
+        """Record a read; return the earliest time at which its data may have arrived.
 
         Args:
-            waited_since: When the wait for it began.
-            polled_at: `ArrivalOrder.polled_at`.
-            emptied: Whether nothing was left behind it.
+            wait_started_at: Time at which the wait for the data began.
+            polled_at: The current `ArrivalOrder.polled_at`.
+            emptied: Whether the read left no data behind.
         """
         earliest_arrival = self.read_up_to
-        if waited_since <= polled_at:
+        if wait_started_at <= polled_at:
             earliest_arrival = max(self.read_up_to, polled_at)
         if emptied:
             self.read_up_to = max(earliest_arrival, polled_at)
@@ -50,17 +53,18 @@
 
 
 class ArrivalOrder:
-    """Detects stalls of the event loop, and requests whose order a stall has made unknown.
+    """Detects stalls of the event loop, and requests whose order of arrival is unknown after a stall.
 
     Attributes:
-        last_requests: When and where the last request of each key was read, the oldest first.
-        polled_at: Time by which each socket that was waited for was polled later.
+        last_requests: Read time and source of the last request of each key, oldest first.
+        polled_at: Time after which each socket that was waited for at that time has been polled.
+        ticked_at: Time of the last tick.
         stalled_until: End of the last stall.
-        is_catching_up: Whether something that arrived before that is still unread.
+        is_catching_up: Whether data that arrived before the end of the last stall may still be unread.
     """
 
     def __init__(self) -> None:
-        """Start with no tick and no stall."""
+        """Start without a tick or a stall."""
         self.polled_at = -inf
         self.ticked_at = -inf
         self.stalled_until = -inf
@@ -68,7 +72,7 @@
         self.last_requests: dict[int, tuple[float, Source]] = {}
 
     def on_tick(self, now: float) -> bool:
-        """Record a tick; return whether the loop has stalled since the one before."""
+        """Record a tick; return whether the loop has stalled since the previous one."""
         self.polled_at = self.ticked_at
         self.ticked_at = now
         if now - self.polled_at < STALL_SECONDS or self.polled_at == -inf:
@@ -78,33 +82,34 @@
         return True
 
     def is_caught_up(self, source: Source, readable: bool) -> bool:
-        """Return whether all is read that arrived at a source before the end of the last stall."""
+        """Return whether all data that arrived at a source before the end of the last stall has been read."""
         return not readable or source.read_up_to >= self.stalled_until
 
     def finish_catching_up(self, all_caught_up: bool, now: float) -> bool:
-        """End the catching up if it is over; return whether it is.
+        """Update `is_catching_up`; return whether no accumulated data is left to wait for.
 
-        It is over after `MAX_CATCH_UP_SECONDS` in any case, since a flood could go on for ever.
+        The wait is limited to `MAX_CATCH_UP_SECONDS`, since a client that sends without pause could prolong
+        it for ever.
         """
         if self.is_catching_up and (all_caught_up or now - self.stalled_until > MAX_CATCH_UP_SECONDS):
             self.is_catching_up = False
         return not self.is_catching_up
 
     def is_in_order(self, key: int, source: Source, earliest_arrival: float, now: float) -> bool:
-        """Return whether a request surely arrived after the one of its key that was read before it.
+        """Return whether a request certainly arrived after the previously read request with the same key.
 
         Args:
-            key: The ordering key of the request.
-            source: Where it was read.
-            earliest_arrival: As of `Source.record_read`.
-            now: When it was read.
+            key: The order key of the request.
+            source: The socket from which it was read.
+            earliest_arrival: The result of `Source.record_read` for the read.
+            now: Time at which it was read.
         """
-        self._forget_old_keys(now)
+        self._remove_expired_keys(now)
         last_read_at, last_source = self.last_requests.pop(key, (-inf, source))
         self.last_requests[key] = now, source
         return last_source is source or last_read_at - earliest_arrival < MIN_REQUEST_SPACING_SECONDS
 
-    def _forget_old_keys(self, now: float) -> None:
+    def _remove_expired_keys(self, now: float) -> None:
         for key, (read_at, _) in list(self.last_requests.items()):
             if read_at >= now - KEY_RETENTION_SECONDS:
                 break
--- a/applevale/dispatch/clock.py
+++ b/applevale/dispatch/clock.py
@@ -1,4 +1,4 @@
-"""The clock of decisions: the system's Unix clock, without its steps back."""
+"""The clock of the admission controller: Unix time that never goes back."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class UnixClock:
-    """Unix time in seconds, as engines state their start times; it never goes back.
+    """Unix time in seconds, the time scale of the start times of engines; it never goes back.
 
     Attributes:
-        latest: The time that was returned last; 0 before the first call.
+        latest: The time returned by the last call; 0 before the first one.
     """
 
     __slots__ = ("_read", "latest")
 
     def __init__(self, read: Callable[[], float] = time.time):
-        """Read the time by `read`."""
+        """Create a clock that reads the system time with `read`."""
         self.latest = 0.0
         self._read = read
 
     def now(self) -> float:
-        """Return the time, or the latest one again if the system's clock was set back."""
+        """Return the time, or `latest` again while the system clock is behind it."""
         self.latest = max(self.latest, self._read())
         return self.latest
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -1,6 +1,7 @@
-"""Runs the admission controller on the event loop: its clock, its batches of events and its timers.
+"""Runs the admission controller on the event loop: clock, batches of events, timers and actions.
 
-Events go to the controller in batches, and the actions that it returns go to the requests that they name.
+Events are passed to the controller in batches. Each action that it returns is routed to the request that it
+names.
 """
 
 from __future__ import annotations
@@ -20,36 +21,39 @@
 from .prober import EngineProber
 from .stall_monitor import StallMonitor
 
-# A batch over a long queue costs the same for one event as for many, and must leave time for the sockets.
-MIN_BATCH_INTERVAL_SECONDS = 0.004  # between the starts of two batches
-BATCH_INTERVAL_FACTOR = 3.0  # the interval in multiples of what the last batch took, where that is more
+# Interval between the starts of two batches. With a long wait queue, a batch of one event takes as long as a
+# batch of many, so batches are spaced out to leave time for reading sockets.
+MIN_BATCH_INTERVAL_SECONDS = 0.004
+BATCH_INTERVAL_FACTOR = 3.0  # smallest interval, as a multiple of the duration of the last batch
 
-LOGGED_LATENESS_SECONDS = 0.03  # of a batch
-MAX_READ_DELAY_SECONDS = 0.1  # that is assumed of a message, and taken off its request's timeout
+LOGGED_LATENESS_SECONDS = 0.03  # batches that start later than this are logged and counted as stalls
+MAX_READ_DELAY_SECONDS = 0.1  # largest read delay that is subtracted from the timeout of a request
 
-# A batch that is later than that first leaves some loop iterations to the sockets: else work is sent on for
-# clients that have disconnected meanwhile, and to engines whose drain is still unread.
+# A batch that is later than this is put off until sockets have been read for some loop iterations. Otherwise
+# requests would be sent for clients that have disconnected, and to engines whose drain is still unread.
 READ_FIRST_LATENESS_SECONDS = 0.06
 READ_FIRST_ITERATIONS = 4
 
-# From the write of an answer to the next attempt with its ordering key.
-MIN_ANSWER_GAP_SECONDS = 0.25
-MAX_ANSWER_GAP_SECONDS = 1.0
-ANSWER_GAP_LATENESS_FACTOR = 2.0  # weight of the lateness that is added to the least gap
+# Time from the write of a response until its client has certainly read it. The next request with the same
+# order key is not sent before.
+MIN_DELIVERY_TIME_SECONDS = 0.25
+MAX_DELIVERY_TIME_SECONDS = 1.0
+DELIVERY_LATENESS_FACTOR = 2.0  # multiple of the current lateness that is added to the minimum
 
 RequestAction = api.Send | api.Terms | api.Reject | api.Fail | api.Cancel
 ActionHandler = Callable[[RequestAction], None]
 
 
 class EventLoopDriver:
-    """Owns the admission controller, and is the only one that calls it.
+    """Owns the admission controller and makes all calls to it.
 
-    What is submitted in one loop iteration goes to the controller as one batch, never re-entrantly.
+    Events that are submitted before the next batch is due are passed to the controller together. The
+    controller is never called re-entrantly.
 
     Attributes:
-        action_handlers: For each open request, by its number, what takes the actions that name it.
+        action_handlers: Handler of the actions for each open request, by request number.
         event_queue: The events of the next batch.
-        stall_monitor: Watches the loop for stalls.
+        stall_monitor: Detects stalls of the event loop.
     """
 
     def __init__(
@@ -59,13 +63,13 @@
         counters: Counters,
         clock: UnixClock | None = None,
     ):
-        """Create a driver that has no events yet.
+        """Create a driver without events.
 
         Args:
-            controller: Decides on requests.
-            engine_pool: Carries out probes.
-            counters: Counts batches, probes and stalls.
-            clock: The clock of all decisions; None for one of its own.
+            controller: The admission controller.
+            engine_pool: The engines, for probes.
+            counters: Counters of batches, probes and stalls.
+            clock: The clock of the controller; None to create one.
         """
         self.controller = controller
         self.counters = counters
@@ -80,25 +84,25 @@
         self.stall_monitor = StallMonitor(self.clock, counters)
 
     def now(self) -> float:
-        """Return the Unix time in seconds, as engines state their start times; it never goes back."""
+        """Return the Unix time in seconds; it never goes back."""
         return self.clock.now()
 
     def start(self) -> None:
-        """Begin to watch the loop for stalls."""
+        """Begin to monitor the running loop for stalls."""
         self.stall_monitor.start()
 
     def stop(self) -> None:
-        """Stop watching the loop."""
+        """Stop monitoring the loop."""
         self.stall_monitor.stop()
 
     def register(self, handler: ActionHandler) -> int:
-        """Return the number of a new request, whose actions go to the handler."""
+        """Return the number of a new request; `handler` is called with each action for it."""
         self.last_request_number += 1
         self.action_handlers[self.last_request_number] = handler
         return self.last_request_number
 
     def unregister(self, number: int) -> None:
-        """Drop all further actions of a request."""
+        """Drop all further actions for a request."""
         self.action_handlers.pop(number, None)
 
     def submit(self, event: api.Event) -> None:
@@ -108,26 +112,27 @@
         self.event_queue.add(event)
 
     def submit_gossip(self, report: api.PeerLoadReport) -> None:
-        """Add a peer's load report to the next batch; it is no reason for a batch of its own."""
+        """Add a peer's load report to the next batch, without scheduling one."""
         self.event_queue.add_load_report(report)
 
     def read_delay(self) -> float:
-        """Return for how many seconds a message may have waited unread: a loop that runs late reads late."""
+        """Return for how many seconds a message may have been unread, by the lateness of the last batches."""
         return min(MAX_READ_DELAY_SECONDS, self.batch_lateness.weighted(self.clock.latest))
 
-    def answer_gap(self) -> float:
-        """Return the seconds from the write of an answer until its client surely has it.
+    def delivery_time(self) -> float:
+        """Return the seconds from the write of a response until its client has certainly read it.
 
-        A client that shares the machine with a late loop, or with peers that answer late, may read as late.
+        The client may share a machine with this process or with the engines, and so be as late as this event
+        loop or as replies to probes.
         """
         lateness = max(self.read_delay(), self.prober.latency.weighted(self.clock.latest))
-        return min(MAX_ANSWER_GAP_SECONDS, MIN_ANSWER_GAP_SECONDS + ANSWER_GAP_LATENESS_FACTOR * lateness)
+        return min(MAX_DELIVERY_TIME_SECONDS, MIN_DELIVERY_TIME_SECONDS + DELIVERY_LATENESS_FACTOR * lateness)
 
     def outlier_engines(self) -> set[int]:
-        """Return the engines that the controller avoids as outliers now.
+        """Return the ids of the engines that are ejected as outliers now.
 
-        That state ends by the clock and without an event, so this looks at each engine: it is for calls of
-        operators.
+        An ejection ends by time, without an event, so this checks every engine. It is meant for requests of
+        operators, which are rare.
         """
         return self.controller.ejected_engines(self.now())
 
@@ -145,7 +150,7 @@
         self._run_batch_after(READ_FIRST_ITERATIONS if lateness > READ_FIRST_LATENESS_SECONDS else 0)
 
     def _run_batch_after(self, iterations: int) -> None:
-        """Run the batch once so many iterations of the loop have read sockets."""
+        """Run the batch after the given number of further loop iterations, each of which reads sockets."""
         if iterations:
             asyncio.get_running_loop().call_soon(self._run_batch_after, iterations - 1)
         else:
@@ -158,7 +163,7 @@
         self.counters["batches"] += 1
         try:
             actions = self.controller.handle(self.now(), events)
-        except Exception:  # guards the other requests; those of this batch end by their own deadlines
+        except Exception:  # the requests of this batch are ended by their deadlines, others go on
             self.counters["module_errors"] += 1
             log_event("module", traceback.format_exc())
             return
@@ -168,7 +173,7 @@
         self.batch_interval = max(MIN_BATCH_INTERVAL_SECONDS, BATCH_INTERVAL_FACTOR * duration)
 
     def _record_lateness(self, now: float) -> None:
-        """Note how late a batch starts, by the loop's clock, and that it was due now for all that follows."""
+        """Record how late a batch starts, and reset its due time to now for the schedule of the next one."""
         lateness = now - self.batch_due_at
         self.batch_due_at += lateness
         if lateness >= self.read_delay():
@@ -181,7 +186,7 @@
         match action:
             case api.Send() | api.Terms() | api.Reject() | api.Fail() | api.Cancel():
                 handler = self.action_handlers.get(action.request)
-                if handler is not None:  # else its client has gone, and its attempt was cancelled with it
+                if handler is not None:  # else the client has gone, and its attempt was cancelled
                     handler(action)
             case api.SetTimer():
                 loop = asyncio.get_running_loop()
@@ -190,5 +195,7 @@
                 self.prober.probe(action.engine)
             case api.Log():
                 log_event("module", action.text)
-            case _:  # the list is pushed and no peer is messaged: nothing to subscribe to, fetch or tell
+            case (
+                _
+            ):  # subscriptions, fetches, peer messages: lists are pushed, and peers get load reports only
                 self.counters["actions_without_use"] += 1
--- a/applevale/dispatch/event_queue.py
+++ b/applevale/dispatch/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that wait for the next batch."""
+"""The queue of events for the next batch of the admission controller."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def merge_list_updates(events: list[api.Event]) -> list[api.Event]:
-    """Merge all updates of the engine list in a batch into one, which comes first.
+    """Return the events with all updates of the engine list merged into one at the front.
 
-    The controller goes through all its engines for each update.
+    This saves time, since the controller iterates over all engines for each update.
     """
     entries: dict[int, api.EngineEntry] = {}
     whole = False
@@ -26,11 +26,11 @@
     """Collects the events of the next batch.
 
     Attributes:
-        events: The events but load reports, in their order.
+        events: All events except load reports, in order of arrival.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.events: list[api.Event] = []
         self._list_update_count = 0
         self._load_reports: dict[int, api.PeerLoadReport] = {}  # by engine
@@ -41,16 +41,16 @@
         self._list_update_count += isinstance(event, api.EngineList)
 
     def add_load_report(self, report: api.PeerLoadReport) -> None:
-        """Add a peer's load report, merged with a former one of the same engine."""
-        former = self._load_reports.get(report.engine, report)
-        if former is not report:
+        """Add a peer's load report, merged with an earlier one for the same engine."""
+        earlier = self._load_reports.get(report.engine, report)
+        if earlier is not report:
             report = api.PeerLoadReport(
-                report.engine, report.report or former.report, report.threads + former.threads
+                report.engine, report.report or earlier.report, report.threads + earlier.threads
             )
         self._load_reports[report.engine] = report
 
     def take(self) -> list[api.Event]:
-        """Remove and return all: load reports, then the engine list if there were several updates."""
+        """Remove and return all events: load reports first, then the others with list updates merged."""
         events = self.events
         self.events = []
         if self._list_update_count > 1:
--- a/applevale/dispatch/lateness.py
+++ b/applevale/dispatch/lateness.py
@@ -1,27 +1,32 @@
-"""A measure of how late something ran, which is forgotten gradually."""
+"""A lateness measurement that decays with time."""
 
 from __future__ import annotations
 
 from math import exp
 
-LATENESS_DECAY_SECONDS = 3.0  # time constant with which a measured lateness loses weight
+LATENESS_DECAY_SECONDS = 3.0  # time constant of the exponential decay
 
 
 class DecayingLateness:
-    """The last large lateness that was measured, which loses weight exponentially with its age."""
+    """A measured duration that decays exponentially with its age.
+
+    Attributes:
+        seconds: The measured duration.
+        measured_at: Time of the measurement.
+    """
 
     __slots__ = ("measured_at", "seconds")
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with a duration of zero."""
         self.seconds = 0.0
         self.measured_at = 0.0
 
     def record(self, seconds: float, now: float) -> None:
-        """Take a new measurement for the old one."""
+        """Replace the measurement."""
         self.seconds = seconds
         self.measured_at = now
 
     def weighted(self, now: float) -> float:
-        """Return what is left of it, in seconds."""
+        """Return the decayed duration in seconds."""
         return self.seconds * exp((self.measured_at - now) / LATENESS_DECAY_SECONDS)
--- a/applevale/dispatch/prober.py
+++ b/applevale/dispatch/prober.py
@@ -1,4 +1,4 @@
-"""Carries out the probes of engines that the admission controller asks for."""
+"""Executes the engine probes that the admission controller requests."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class EngineProber:
-    """Probes engines and submits the results.
+    """Probes engines and submits the results as events.
 
     Attributes:
-        latency: How long probes took lately.
+        latency: Recent duration of successful probes.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         submit: Callable[[api.ProbeResult], None],
         counters: Counters,
     ) -> None:
-        """Probe the engines of a pool; `submit` is given each result."""
+        """Create a prober for the engines of a pool; `submit` is called with each result."""
         self.latency = DecayingLateness()
         self._engine_pool = engine_pool
         self._clock = clock
@@ -33,7 +33,7 @@
         self._counters = counters
 
     def probe(self, engine: int) -> None:
-        """Probe an engine."""
+        """Probe an engine; the result is submitted later."""
         self._counters["probes"] += 1
         started_at = self._clock.now()
 
--- a/applevale/harness/fleet_clients.py
+++ b/applevale/harness/fleet_clients.py
@@ -15,7 +15,7 @@
 from .history_recorder import HistoryRecorder
 from .request_rules import NO_OVERLAP, count_violations
 
-FINAL_ANSWER_MARGIN_SECONDS = 0.3  # before a client's deadline, when an undecided request is answered
+FINAL_RESPONSE_MARGIN_SECONDS = 0.3  # before a client's deadline, when an undecided request is answered
 END_GRACE_SECONDS = 0.5  # after the end of a process in which a connection may still be cut by it
 CLIENT_EFFORT_MS = 400.0
 
@@ -100,7 +100,7 @@
         if sent.disconnected_at and any(sent.sent_at <= end + END_GRACE_SECONDS for end in instance.ended_at):
             violations["cut_by_ends"] += 1
         elif sent.answers == [ANSWER_LATE] and any(
-            begin < sent.deadline and sent.deadline - FINAL_ANSWER_MARGIN_SECONDS < end
+            begin < sent.deadline and sent.deadline - FINAL_RESPONSE_MARGIN_SECONDS < end
             for begin, end in instance.pauses
         ):
             violations["late_by_standstill"] += 1
--- a/applevale/requests/__init__.py
+++ b/applevale/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one client request, whatever protocol it came by."""
+"""Handling of client requests from admission to response, independent of the protocol."""
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -13,22 +13,23 @@
 from ..engines.attempt import Attempt, AttemptResult, AttemptSpec, AttemptSucceeded
 from ..engines.connection import EngineConnection
 from ..engines.pool import EnginePool
+from ..engines.resp import DEFAULT_PRIORITY
 from ..observability.counters import Counters
 from ..observability.events import log_event
 from .model import Completed, Failed, Rejected, Request, Response
 
-# Part of the client's timeout that is withheld from the decision module, so that no answer crosses the
-# client's cancellation. The module checks pending requests every 50 ms and aims to answer 60 ms before the
-# end, by the time of its batch, which runs later than the request.
+# Part of the client's timeout that is withheld from the admission controller, so that the response reaches
+# the client before it cancels the request. The controller checks pending requests every 50 ms and aims to
+# decide 60 ms before the end, by the time of its batch, which is later than the time of the request.
 DEADLINE_MARGIN_SECONDS = 0.03
 
 
 class DeadlineReached:
-    """Signals that the client is about to give up and the decision module has not decided."""
+    """Signals that the client's timeout is about to expire without a decision by the admission controller."""
 
 
 class DiscoveryStale:
-    """Signals that the engine list is unconfirmed for too long to keep requests waiting for it."""
+    """Signals that the engine list has been unconfirmed for too long for requests to wait any longer."""
 
 
 InboxEvent = api.Action | AttemptResult | DeadlineReached | DiscoveryStale
@@ -36,20 +37,20 @@
 
 
 def ignore_dispatch(engine: int, threads: int) -> None:
-    """Do nothing: a dispatch listener for instances without peers."""
+    """Do nothing; the dispatch listener of instances without peers."""
 
 
 @dataclass
 class RequestEnvironment:
-    """What all requests of one handler share.
+    """Objects that all requests of one handler share.
 
     Attributes:
-        driver: Takes events to the decision module, and has the clock.
+        driver: Passes events to the admission controller and provides the clock.
         pool: The engines.
         settings: The settings of the deployment.
-        counters: Counts of outcomes.
-        on_dispatch: Called with the engine and the threads of each attempt to share with other instances.
-        shutdown_deadline: When the process stops, by the driver's clock.
+        counters: Counters of outcomes.
+        on_dispatch: Called with the engine and the thread count of each attempt that peers are told of.
+        shutdown_deadline: Time at which the process stops, by the driver's clock.
     """
 
     driver: EventLoopDriver
@@ -60,24 +61,24 @@
     shutdown_deadline: float = inf
 
     def time_remaining(self, request: Request) -> float:
-        """Return the seconds until the client gives up or the process stops."""
+        """Return the seconds until the client's timeout expires or the process stops."""
         deadline = min(request.received_at + request.timeout, self.shutdown_deadline)
         return deadline - self.driver.now()
 
     def reject(self) -> Rejected:
-        """Return a rejection that the decision module was not asked for."""
+        """Return a rejection that is not a decision of the admission controller."""
         return Rejected(self.settings.max_retry_after if self.settings.retry_after else 0.0)
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """What is remembered of an attempt until it ends.
+    """Bookkeeping of an attempt until it ends.
 
     Attributes:
-        index: Its number among the attempts of the request, from 0.
+        index: Index among the attempts of the request, from 0.
         engine: The engine's id.
-        sent_at: When it was started, by the driver's clock.
-        timeout_timer: Cancels the attempt; None while it is being started.
+        sent_at: Time at which it was started, by the driver's clock.
+        timeout_timer: Timer that cancels the attempt; None while it is being started.
     """
 
     index: int
@@ -87,21 +88,21 @@
 
 
 class RequestContext:
-    """One active request: its inbox, and the attempt that is in flight.
+    """An active request: its inbox of events and its attempts.
 
-    The results of attempts are recorded where each attempt ends, since its `AttemptResult` may be in the
-    inbox behind an event that decides the response.
+    The result of an attempt is recorded when the attempt ends. In the inbox, the `AttemptResult` may come
+    after an event that decides the response.
 
     Attributes:
-        number: The request's number with the decision module.
-        inbox: Actions of the decision module, ends of attempts and signals, in their order.
-        in_flight: The attempt in flight, if any; there is one at a time.
+        number: The number by which the admission controller knows the request.
+        inbox: Actions of the admission controller, results of attempts and signals, in order.
+        in_flight: The attempt in flight, or None; there is at most one at a time.
         attempt_count: Number of attempts so far.
-        used_connections: Connections that carried an attempt of this request.
+        used_connections: Connections that have carried an attempt of this request.
     """
 
     def __init__(self, environment: RequestEnvironment, request: Request):
-        """Register the request with the driver; `close` must follow."""
+        """Register the request with the driver; the caller must call `close` in the end."""
         self.request = request
         self._spec = environment.settings.classes[request.class_index]
         self.inbox: asyncio.Queue[InboxEvent] = asyncio.Queue()
@@ -111,18 +112,19 @@
         self.used_connections: set[EngineConnection] = set()
         self._environment = environment
         self._driver = environment.driver
-        self._priority = 1
+        self._priority = DEFAULT_PRIORITY
         self._rows: bytes | None = None
-        # By the driver's clock: when the first attempt that may have been executed was sent.
+        # Send time, by the driver's clock, of the first attempt that was possibly executed.
         self._possibly_executed_at = inf
-        self._is_decided = False  # the decision module knows how the request ended
+        # Whether the admission controller already knows that the request has ended.
+        self._is_decided = False
 
     def time_remaining(self) -> float:
-        """Return the seconds until the client gives up or the process stops."""
+        """Return the seconds until the client's timeout expires or the process stops."""
         return self._environment.time_remaining(self.request)
 
     async def run(self) -> Response:
-        """Submit the request to the decision module and carry out its actions until there is a response."""
+        """Submit the request to the admission controller and execute its actions until it has a response."""
         self._submit()
         while True:
             response = self._handle_event(await self.inbox.get())
@@ -147,7 +149,7 @@
         self._driver.submit(event)
 
     def _handle_event(self, event: InboxEvent) -> Response | None:
-        """Handle one event of the inbox; return the response if the event decides it."""
+        """Handle an event from the inbox; return the response if the event decides it."""
         match event:
             case api.Terms(priority=priority):
                 self._set_priority(priority)
@@ -172,9 +174,12 @@
         return None
 
     def _on_deadline(self) -> Response:
-        """Respond without a decision, so that the client gets its one response in any case."""
+        """Respond without a decision, so that every request gets a response."""
         self._environment.counters["overdue"] += 1
-        log_event("broker", f"no decision on {self._spec.name} within {self.request.timeout:.3f} s")
+        log_event(
+            "broker",
+            f"{self._spec.name} request: no decision within its timeout of {self.request.timeout:.3f} s",
+        )
         return self._final_response()
 
     def _set_priority(self, priority: int) -> None:
@@ -192,7 +197,8 @@
         on_end = partial(self._on_attempt_end, record)
         attempt = pool.start_attempt(send.engine, spec, self.used_connections, on_end)
         if attempt.connection is not None:
-            # On the same connection a second copy of this attempt's answer would pass for the next one's.
+            # A late or repeated reply to this attempt would be taken for the reply to a later one on the same
+            # connection.
             self.used_connections.add(attempt.connection)
         if not attempt.is_finished:
             if send.announce:
@@ -201,9 +207,10 @@
             record.timeout_timer = loop.call_later(max(0.0, timeout), attempt.cancel, api.Result.TIMEOUT)
 
     def _start_window(self, timeout: float, now: float) -> float:
-        """Return the seconds within which an attempt must be written, or not at all.
+        """Return the seconds within which the attempt must be written, or else be dropped.
 
-        Once a request may have been executed, a keyed one is repeated within the engines' window only.
+        Engines recognize a repeated request of a keyed class only within `repeat_window` of its first
+        possible execution.
         """
         if self._spec.repeat is not api.Repeat.KEYED:
             return timeout
@@ -213,19 +220,19 @@
         request = self.request
         now = asyncio.get_running_loop().time()
         return AttemptSpec(
-            request.request_id,
-            self._spec.name,
-            request.statement,
-            now + timeout,
-            now + start_window,
-            self._priority,
-            self._spec.repeat is api.Repeat.UNSAFE,
-            request.is_client_gone,
-            request.idempotency_key,
+            request_id=request.request_id,
+            class_name=self._spec.name,
+            statement=request.statement,
+            deadline=now + timeout,
+            start_before=now + start_window,
+            priority=self._priority,
+            exclusive=self._spec.repeat is api.Repeat.UNSAFE,
+            is_client_gone=request.is_client_gone,
+            idempotency_key=request.idempotency_key,
         )
 
     def _on_attempt_end(self, record: AttemptRecord, result: AttemptResult) -> None:
-        """Record what an attempt proved and report it; it may end while it is being started."""
+        """Record and report the result of an attempt, which may end while it is being started."""
         self.in_flight = None
         if record.timeout_timer is not None:
             record.timeout_timer.cancel()
@@ -249,13 +256,13 @@
         self.inbox.put_nowait(result)
 
     def _completed_or(self, response: Response) -> Response:
-        """Return the result if an attempt has succeeded meanwhile, and `response` otherwise."""
+        """Return the rows if an attempt has succeeded in the meantime, and `response` otherwise."""
         return response if self._rows is None else Completed(self._rows)
 
     def _final_response(self) -> Response:
-        """Return the response without a decision; a rejection only if a repetition is harmless."""
+        """Return the response without a decision: a rejection only if the request may be executed again."""
         if self.in_flight is not None:
-            # An attempt of which nothing was written ends at once, as not executed.
+            # Ends at once as not executed if nothing of the attempt was written.
             self.in_flight.cancel(api.Result.CANCELLED)
         possibly_executed = self._possibly_executed_at < inf or self.in_flight is not None
         if possibly_executed and self._spec.repeat is not api.Repeat.SAFE:
@@ -263,14 +270,14 @@
         return self._completed_or(self._environment.reject())
 
     def close(self) -> None:
-        """Unregister the request, and cancel the attempt in flight."""
+        """Unregister the request and cancel the attempt in flight."""
         self._driver.unregister(self.number)
         if not self._is_decided:
             self._driver.submit(api.ClientGone(self.number))
         while not self.inbox.empty():
             event = self.inbox.get_nowait()
             if isinstance(event, api.Send):
-                # The decision module counts an attempt as in flight until its outcome comes.
+                # The admission controller counts the attempt as in flight until it gets an outcome.
                 outcome = api.Outcome(self.number, self.attempt_count, event.engine, api.Result.MOOT)
                 self._driver.submit(outcome)
                 self.attempt_count += 1
--- a/applevale/requests/handler.py
+++ b/applevale/requests/handler.py
@@ -1,4 +1,4 @@
-"""Admits client requests, and sees each one through to its response."""
+"""Admits client requests and produces one response for each."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 )
 from .model import Rejected, Request, Response
 
-# Before the client gives up, when it gets a response even if the decision module still owes it.
-FINAL_ANSWER_MARGIN_SECONDS = 0.015
+# Time before the end of the client's timeout at which it gets a response even without a decision.
+FINAL_RESPONSE_MARGIN_SECONDS = 0.015
 
 
 class RequestHandler:
-    """Takes requests of any protocol, and returns one response for each.
+    """Handles requests of any protocol and returns one response for each.
 
     Attributes:
-        active: The requests without a response.
+        active: The admitted requests that have no response yet.
     """
 
     def __init__(
@@ -39,26 +39,26 @@
         counters: Counters,
         on_dispatch: DispatchListener = ignore_dispatch,
     ):
-        """Handle requests with the decision module behind `driver` and the engines of `pool`.
+        """Create a handler.
 
         Args:
-            driver: Takes events to the decision module, and has the clock.
+            driver: Passes events to the admission controller and provides the clock.
             pool: The engines.
             settings: The settings of the deployment.
-            counters: Counts of outcomes.
-            on_dispatch: Called with the attempts to share with other instances.
+            counters: Counters of outcomes.
+            on_dispatch: Called with the engine and the thread count of each attempt that peers are told of.
         """
         self.active: set[RequestContext] = set()
         self._environment = RequestEnvironment(driver, pool, settings, counters, on_dispatch)
         self._driver = driver
         self._counters = counters
-        # Requests with an order key, and their numbers, until their responses are delivered.
+        # Numbers of the requests with an order key whose responses are not delivered yet.
         self._undelivered: dict[Request, int] = {}
         self._is_rejecting = False
         self._rejection_timer: asyncio.TimerHandle | None = None
 
     async def handle(self, request: Request) -> Response:
-        """Return the response to a request; the task is cancelled when the client has gone."""
+        """Return the response to a request; the caller cancels the task if the client has gone."""
         if request.order_key:
             await self._driver.stall_monitor.order_known.wait()
         if not self._may_admit(request):
@@ -68,7 +68,7 @@
         if request.order_key:
             self._undelivered[request] = context.number
         deadline_timer = asyncio.get_running_loop().call_later(
-            max(0.0, context.time_remaining() - FINAL_ANSWER_MARGIN_SECONDS),
+            max(0.0, context.time_remaining() - FINAL_RESPONSE_MARGIN_SECONDS),
             context.inbox.put_nowait,
             DeadlineReached(),
         )
@@ -80,39 +80,39 @@
             context.close()
 
     def _may_admit(self, request: Request) -> bool:
-        """Return whether a request goes to the decision module, or is rejected at once."""
+        """Return whether a request is passed to the admission controller, or else rejected at once."""
         if len(self._driver.action_handlers) >= self._environment.settings.max_open:
             return False
         if self._is_rejecting:
             self._counters["unconfirmed"] += 1
             return False
         if self._environment.time_remaining(request) <= DEADLINE_MARGIN_SECONDS:
-            # The decision module would reject it too, but a batch later, when the client may have given up.
+            # The admission controller would reject it too, but one batch later, when it may have expired.
             self._counters["no_patience"] += 1
             return False
         return True
 
     def reject(self) -> Rejected:
-        """Return a rejection for a request that was not handled: it is safe to send again."""
+        """Return a rejection for a request that was not handled and may be sent again."""
         return self._environment.reject()
 
     def on_response_delivered(self, request: Request) -> None:
-        """Note that the response was written whole, or can reach no one.
+        """Record that the response was written, or cannot be delivered any more.
 
-        A server calls this once for each request, also for one that was cancelled.
+        The server calls this once for each request, including cancelled ones.
         """
         number = self._undelivered.pop(request, None)
         if number is not None:
-            self._driver.submit(api.AnswerSent(number, request.order_key, self._driver.answer_gap()))
+            self._driver.submit(api.AnswerSent(number, request.order_key, self._driver.delivery_time()))
 
     def set_shutdown_deadline(self, deadline: float) -> None:
-        """Set the time, by the driver's clock, at which the process stops; no request is given more."""
+        """Set the time, by the driver's clock, at which the process stops; it limits all timeouts."""
         self._environment.shutdown_deadline = deadline
 
     def reject_after(self, delay: float | None) -> None:
-        """Reject requests once the engine list has been stale for `delay` seconds from now.
+        """Reject requests from `delay` seconds on, unless the engine list is confirmed before.
 
-        None: the list is confirmed again, and requests are accepted.
+        None means that the engine list is confirmed again, and that requests are accepted.
         """
         if self._rejection_timer is not None:
             self._rejection_timer.cancel()
@@ -126,7 +126,7 @@
         self._notify_active(DiscoveryStale)
 
     def finish_all(self) -> None:
-        """Respond to all active requests now, also to those that wait for the order of their key."""
+        """Respond to all requests now, including those that wait for the order of arrivals to be known."""
         self._driver.stall_monitor.order_known.set()
         self._notify_active(DeadlineReached)
 
--- a/applevale/requests/model.py
+++ b/applevale/requests/model.py
@@ -1,4 +1,4 @@
-"""A client's request and its response, independent of the protocol that carries them."""
+"""Client requests and responses, independent of the protocol that carries them."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 from dataclasses import dataclass
 
 
-def client_is_present() -> bool:
-    """Serve as `Request.is_client_gone` for a client whose connection is not observed."""
+def never_gone() -> bool:
+    """Return False: the default of `Request.is_client_gone`, for clients without a connection."""
     return False
 
 
 @dataclass(frozen=True, eq=False)
 class Request:
-    """A client's request; two requests are equal only if they are the same object.
+    """A client's request. Requests are compared by identity.
 
     Attributes:
-        request_id: The id that the client chose; engines recognize a repeated request by it.
+        request_id: Id chosen by the client; engines recognize a repeated request by it.
         class_index: Index of the request's class in the settings.
         statement: The text to execute.
-        received_at: When it was read, by the driver's clock.
-        timeout: Seconds from `received_at` for which the client waits.
+        received_at: Time at which it was read, by the driver's clock.
+        timeout: How long the client waits, in seconds from `received_at`.
         tenant_index: Index of the tenant in the settings.
-        order_key: Requests of one key are executed in their order of arrival; 0: no order.
-        estimated_work: Estimated seconds on one core; 0: none was given.
-        estimated_memory_mb: Estimated memory; 0: none was given.
-        table_group: Number of the group of tables that the statement uses; 0: none.
-        is_client_retry: Whether the client says that it sends the request again.
-        order_unknown: Whether it may have arrived before an earlier read request of its key.
-        is_client_gone: Returns whether the client has hung up, even if that is not read yet.
-        idempotency_key: Engines recognize a repetition by it, whatever its id; empty: by the id.
+        order_key: Requests with the same key are executed in order of arrival; 0 for no order.
+        estimated_work: The client's estimate of the work in core-seconds; 0 for none.
+        estimated_memory_mb: The client's estimate of the memory in MB; 0 for none.
+        table_group: Number of the table group that the statement uses; 0 for none.
+        is_client_retry: Whether the client marked the request as a retry.
+        order_unknown: Whether it may have arrived before a request with the same key that was read earlier.
+        is_client_gone: Returns whether the client has hung up, even if the end of the stream is unread.
+        idempotency_key: Engines recognize a repeated request by it in place of the id; empty for none.
     """
 
     request_id: bytes
@@ -44,7 +44,7 @@
     table_group: float = 0.0
     is_client_retry: bool = False
     order_unknown: bool = False
-    is_client_gone: Callable[[], bool] = client_is_present
+    is_client_gone: Callable[[], bool] = never_gone
     idempotency_key: str = ""
 
 
@@ -53,7 +53,7 @@
     """The request was executed.
 
     Attributes:
-        rows: The result, as the engine sent it.
+        rows: The result as the engine sent it, all pages joined.
     """
 
     rows: bytes
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """The request was not executed for lack of capacity, and may be sent again.
+    """The request was not executed, or may safely be executed twice; the client may send it again.
 
     Attributes:
-        retry_after: Seconds after which the client should retry; 0: no advice.
+        retry_after: Seconds after which the client should retry; 0 for no advice.
     """
 
     retry_after: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Failed:
-    """The request failed, or may have been executed without a result."""
+    """The request failed, or was possibly executed and its result is lost."""
 
 
 Response = Completed | Rejected | Failed
--- a/applevale/server/request_parser.py
+++ b/applevale/server/request_parser.py
@@ -8,7 +8,7 @@
 from math import nan
 
 from .. import api
-from ..requests.model import Request, client_is_present
+from ..requests.model import Request, never_gone
 from .rpc import RequestCall
 from .statement import table_group
 
@@ -57,7 +57,7 @@
     schema: RequestSchema,
     call: RequestCall,
     received_at: float,
-    is_client_gone: Callable[[], bool] = client_is_present,
+    is_client_gone: Callable[[], bool] = never_gone,
 ) -> Request:
     """Return the request that a call carries.
 
--- a/tests/test_arrival_order.py
+++ b/tests/test_arrival_order.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "waited_since, emptied, earliest_arrival, read_up_to",
+    "wait_started_at, emptied, earliest_arrival, read_up_to",
     [
         (10.0, True, 10.05, 10.05),  # waited since before the last poll, which found nothing
         (10.0, False, 10.05, 9.0),  # what was left unread is no newer
@@ -28,9 +28,9 @@
         (10.06, False, 9.0, 9.0),
     ],
 )
-def test_the_earliest_arrival_of_what_was_read(waited_since, emptied, earliest_arrival, read_up_to):
+def test_the_earliest_arrival_of_what_was_read(wait_started_at, emptied, earliest_arrival, read_up_to):
     source = Source(9.0)
-    assert source.record_read(waited_since, 10.05, emptied) == earliest_arrival
+    assert source.record_read(wait_started_at, 10.05, emptied) == earliest_arrival
     assert source.read_up_to == read_up_to
 
 
