--- a/applevale/dispatch/lateness.py
+++ b/applevale/dispatch/decaying_duration.py
@@ -1,13 +1,13 @@
-"""A lateness measurement that decays with time."""
+"""A measured duration that decays with time."""
 
 from __future__ import annotations
 
 from math import exp
 
-LATENESS_DECAY_SECONDS = 3.0  # time constant of the exponential decay
+DECAY_SECONDS = 3.0  # time constant of the exponential decay
 
 
-class DecayingLateness:
+class DecayingDuration:
     """A measured duration that decays exponentially with its age.
 
     Attributes:
@@ -27,6 +27,6 @@
         self.seconds = seconds
         self.measured_at = now
 
-    def weighted(self, now: float) -> float:
+    def decayed(self, now: float) -> float:
         """Return the decayed duration in seconds."""
-        return self.seconds * exp((self.measured_at - now) / LATENESS_DECAY_SECONDS)
+        return self.seconds * exp((self.measured_at - now) / DECAY_SECONDS)
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -16,8 +16,8 @@
 from ..observability.events import log_event
 from ..policy import AdmissionController
 from .clock import UnixClock
+from .decaying_duration import DecayingDuration
 from .event_queue import EventQueue
-from .lateness import DecayingLateness
 from .prober import EngineProber
 from .stall_monitor import StallMonitor
 
@@ -79,7 +79,7 @@
         self.event_queue = EventQueue()
         self.batch_due_at = 0.0  # by the loop's clock
         self.batch_interval = MIN_BATCH_INTERVAL_SECONDS
-        self.batch_lateness = DecayingLateness()
+        self.batch_lateness = DecayingDuration()
         self.prober = EngineProber(engine_pool, self.clock, self.submit, counters)
         self.stall_monitor = StallMonitor(self.clock, counters)
 
@@ -117,7 +117,7 @@
 
     def read_delay(self) -> float:
         """Return for how many seconds a message may have been unread, by the lateness of the last batches."""
-        return min(MAX_READ_DELAY_SECONDS, self.batch_lateness.weighted(self.clock.latest))
+        return min(MAX_READ_DELAY_SECONDS, self.batch_lateness.decayed(self.clock.latest))
 
     def delivery_time(self) -> float:
         """Return the seconds from the write of a response until its client has certainly read it.
@@ -125,7 +125,7 @@
         The client may share a machine with this process or with the engines, and so be as late as this event
         loop or as replies to probes.
         """
-        lateness = max(self.read_delay(), self.prober.latency.weighted(self.clock.latest))
+        lateness = max(self.read_delay(), self.prober.latency.decayed(self.clock.latest))
         return min(MAX_DELIVERY_TIME_SECONDS, MIN_DELIVERY_TIME_SECONDS + DELIVERY_LATENESS_FACTOR * lateness)
 
     def outlier_engines(self) -> set[int]:
@@ -195,7 +195,7 @@
                 self.prober.probe(action.engine)
             case api.Log():
                 log_event("module", action.text)
-            case (
-                _
-            ):  # subscriptions, fetches, peer messages: lists are pushed, and peers get load reports only
+            case _:
+                # Subscriptions, fetches and peer messages: this program gets the engine list without asking,
+                # and sends peers load reports only.
                 self.counters["actions_without_use"] += 1
--- a/applevale/dispatch/prober.py
+++ b/applevale/dispatch/prober.py
@@ -8,7 +8,7 @@
 from ..engines.pool import EnginePool
 from ..observability.counters import Counters
 from .clock import UnixClock
-from .lateness import DecayingLateness
+from .decaying_duration import DecayingDuration
 
 
 class EngineProber:
@@ -26,7 +26,7 @@
         counters: Counters,
     ) -> None:
         """Create a prober for the engines of a pool; `submit` is called with each result."""
-        self.latency = DecayingLateness()
+        self.latency = DecayingDuration()
         self._engine_pool = engine_pool
         self._clock = clock
         self._submit = submit
@@ -46,5 +46,5 @@
 
     def _record_latency(self, result: api.Result, duration: float) -> None:
         now = self._clock.latest
-        if result is api.Result.OK and duration >= self.latency.weighted(now):
+        if result is api.Result.OK and duration >= self.latency.decayed(now):
             self.latency.record(duration, now)
--- a/applevale/engines/__init__.py
+++ b/applevale/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to engines: protocol, attempts, liveness, the pool."""
+"""Connections to engines: protocol, attempts, liveness checks, connection pool."""
--- a/applevale/engines/attempt.py
+++ b/applevale/engines/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts to execute a request on an engine: what is asked for, how far each came, and its result."""
+"""Attempts to execute a request on an engine: specification, progress and result."""
 
 from __future__ import annotations
 
@@ -15,30 +15,31 @@
 if TYPE_CHECKING:
     from .connection import EngineConnection
 
-MAX_RESULT_BYTES = 48_000  # of all pages of a result
-# From the write of a cancel command to its attempt's end, so that no later execute command overtakes it on
-# another connection.
+MAX_RESULT_BYTES = 48_000  # all pages of one result together
+
+# Time from the write of a cancel command to the end of its attempt. It keeps the next execute command of the
+# request, on another connection, from reaching the engine before the cancel command.
 CANCEL_SETTLE_SECONDS = 0.01
 
 
 class Progress(Enum):
-    """How far an attempt came that ended without a result."""
+    """How far an attempt got that ended without a result."""
 
     NOT_SENT = 0
-    SENT_NOT_EXECUTED = 1  # the engine's reply proves that it never executed
+    SENT_NOT_EXECUTED = 1  # the reply of the engine proves that it was not executed
     POSSIBLY_EXECUTED = 2
-    EXECUTED = 3  # it succeeded on the engine, but its result is lost
+    EXECUTED = 3  # it was executed, but the result is lost
 
 
 @dataclass(frozen=True)
 class AttemptSucceeded:
-    """The whole result of a request.
+    """The complete result of an attempt.
 
     Attributes:
-        rows: All pages, in order.
-        work_seconds: Time on one core that it took; 0 if unknown.
-        memory_mb: Memory that it needed; 0 if unknown.
-        report: Load of the engine, in the order of the settings' columns; empty if none was sent.
+        rows: All pages of the result, joined in order.
+        work_seconds: Work of the execution in core-seconds; 0 if unknown.
+        memory_mb: Memory used by the execution, in MB; 0 if unknown.
+        report: Load report of the engine, in the order of the settings' columns; empty if none was sent.
         result: Always `Result.OK`.
     """
 
@@ -51,12 +52,12 @@
 
 @dataclass(frozen=True)
 class AttemptFailed:
-    """The end of an attempt without a result.
+    """The failure of an attempt.
 
     Attributes:
-        progress: How far it came.
-        result: What that is to the policy.
-        report: Load of the engine, if it sent one with its reply.
+        progress: How far it got.
+        result: The result that is reported to the admission controller.
+        report: Load report of the engine; empty if none was sent.
     """
 
     progress: Progress
@@ -69,18 +70,19 @@
 
 @dataclass(frozen=True)
 class AttemptSpec:
-    """What an engine is asked to execute; all times are of the event loop's clock.
+    """The specification of an attempt; all times are by the event loop's clock.
 
     Attributes:
-        request_id: The client's id of the request, passed on unchanged.
-        class_name: The request's class.
+        request_id: The request id chosen by the client, passed on unchanged.
+        class_name: Name of the request class.
         statement: The statement, passed on unchanged.
-        deadline: When the attempt is cancelled.
-        start_before: When the write of its command must have begun.
-        priority: 0 to 3.
-        exclusive: It must not execute twice, so it shares its connection with nothing that could end it.
-        is_client_gone: Whether the client has closed its connection, even if that is not read yet.
-        idempotency_key: By which engines recognize a repeated request under another id; empty: none.
+        deadline: Time at which the attempt is cancelled.
+        start_before: Time before which the write of its command must begin.
+        priority: Priority on the engine, from 0 to 3.
+        exclusive: Whether it gets a connection of its own, so that no other attempt or probe can break the
+            connection; for requests that must not be executed twice.
+        is_client_gone: Returns whether the client has hung up, even if the end of the stream is unread.
+        idempotency_key: Engines recognize a repeated request with another id by it; empty for none.
     """
 
     request_id: bytes
@@ -97,19 +99,19 @@
 class Attempt:
     """One attempt to execute a request on an engine.
 
-    Invariant: exactly one result is delivered, through the callback.
+    Invariant: the result callback is called exactly once.
 
     Attributes:
-        spec: What is asked for.
-        connection: The connection that carries it; None if there was none to be had.
-        message: Its execute command; None until the connection is established.
-        page_count: Number of pages of its result; 0 until the engine has replied with success.
-        is_cancelled: Further replies to it are ignored.
-        is_finished: Its result was delivered.
+        spec: The specification.
+        connection: The connection that carries it; None if no connection was available.
+        message: The queued execute command; None until the connection is established.
+        page_count: Number of pages of the result; 0 until the engine has sent the first one.
+        is_cancelled: Whether it was cancelled, so that further replies are ignored.
+        is_finished: Whether its result was delivered.
     """
 
     def __init__(self, spec: AttemptSpec, on_result: Callable[[AttemptResult], None]) -> None:
-        """Prepare an attempt; `on_result` is called once with its result."""
+        """Create an attempt; `on_result` is called once with its result."""
         self.spec = spec
         self.connection: EngineConnection | None = None
         self.message: QueuedMessage | None = None
@@ -123,37 +125,37 @@
         self._result_bytes = 0
 
     def finish(self, result: AttemptResult) -> None:
-        """Deliver the result, unless one was delivered before."""
+        """Deliver the result, unless the attempt has finished already."""
         if self.is_finished:
             return
         self.is_finished = True
         if self.connection is not None:
             self.connection.remove_attempt(self)
         on_result = self._on_result
-        self._on_result = None  # it refers back to this attempt: a cycle would wait for the collector
+        self._on_result = None  # breaks the reference cycle between the attempt and its callback
         on_result(result)
 
     def result_after_disconnect(self) -> AttemptFailed:
-        """Return what the end of its connection proves about this attempt."""
+        """Return the result of the attempt if its connection ends now."""
         if self.page_count:
             return AttemptFailed(Progress.EXECUTED, Result.RESET)
         if self.message is not None and self.message.write_started:
             return AttemptFailed(Progress.POSSIBLY_EXECUTED, Result.RESET)
-        # A connection that was reset before the command was written proves nothing about the engine.
-        result = Result.MOOT if self.connection.was_connected else Result.CONNECT_FAILED
+        # A reset before the command was written does not mean that the engine cannot be reached.
+        result = Result.MOOT if self.connection.was_reached else Result.CONNECT_FAILED
         return AttemptFailed(Progress.NOT_SENT, result)
 
     def set_priority(self, priority: int) -> None:
-        """Change the priority on the engine, if the attempt may still be executing there."""
+        """Send a new priority to the engine if the attempt may still be executing there."""
         if self.is_finished or self.is_cancelled or self.page_count or self.message is None:
             return
         self.connection.send_command(resp.CMD_SET_PRIORITY, self.spec.request_id, b"%d" % priority)
 
     def cancel(self, result: Result) -> None:
-        """Finish the attempt as `result`, shortly after the engine's connection has taken the cancel command.
+        """Send a cancel command; the attempt finishes with `result` shortly after the command is written.
 
-        Finished earlier, the next attempt could reach an engine first, on another connection, and be a second
-        copy. What the engine replies from now on has crossed the command, and is ignored.
+        If it finished earlier, the next attempt could reach an engine before the cancel command and be
+        executed concurrently. Replies that arrive from now on are ignored.
         """
         if self.is_finished or self.is_cancelled:
             return
@@ -171,10 +173,10 @@
         )
 
     def handle_reply(self, reply: resp.Reply, report: resp.LoadReport) -> None:
-        """Apply one reply of the engine; a second copy, or more than belongs to the result, is ignored.
+        """Process a reply of the engine; repeated replies and surplus pages are ignored.
 
         Raises:
-            CorruptReplyError: The reply contradicts itself or the protocol.
+            CorruptReplyError: The reply is invalid.
         """
         status = reply.status
         if status == resp.REPLY_RESULT and not self.page_count:
@@ -185,26 +187,26 @@
             self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.FULL, report))
         elif status == resp.REPLY_EXPIRED and not self.page_count:
             self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.MOOT, report))
-        elif status == resp.REPLY_ERROR:  # of the statement or of a page
+        elif status == resp.REPLY_ERROR:  # in execution, or in fetching a page
             progress = Progress.EXECUTED if self.page_count else Progress.POSSIBLY_EXECUTED
             self.finish(AttemptFailed(progress, Result.ERROR, report))
 
     def _handle_first_page(self, reply: resp.Reply, report: resp.LoadReport) -> None:
-        self.page_count = 1  # from here on it is known to have executed, even if the number is corrupt
+        self.page_count = 1  # marks the attempt as executed even if the page count in the reply is corrupt
         self.page_count = reply.page_count()
         self._first_reply = reply
         self._report = report
-        for page in range(1, self.page_count):  # all at once: one round trip
+        for page in range(1, self.page_count):  # requested together, to save round trips
             self.connection.send_command(resp.CMD_FETCH_PAGE, self.spec.request_id, b"%d" % page)
         self._add_page(0, reply.body)
 
     def _add_page(self, page: int, rows: bytes) -> None:
         if page in self._pages:
-            return  # a second copy
+            return  # a repeated reply
         resp.validate_rows(rows)
         self._pages[page] = rows
         self._result_bytes += len(rows)
-        if self._result_bytes > MAX_RESULT_BYTES:  # bounds the memory of one result
+        if self._result_bytes > MAX_RESULT_BYTES:
             self.cancel(Result.ERROR)
         elif len(self._pages) == self.page_count:
             self.finish(self._succeeded())
--- a/applevale/engines/connect_pacer.py
+++ b/applevale/engines/connect_pacer.py
@@ -1,4 +1,4 @@
-"""Paces connections: engines come into use one by one, as the connect schedule says."""
+"""Paces the connections to engines by the connect schedule."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ConnectPacer:
-    """The connect policy that carries out a connect schedule.
+    """A connect policy that enforces a connect schedule.
 
-    Invariant: an engine without a connection, to which none may be opened yet, is shown to the policy as not
-    ready; as soon as one may be opened, it is shown as it is listed.
+    Invariant: while an engine has no connection and none may be opened, the admission controller sees it as
+    not ready. As soon as one may be opened, the controller sees it in its listed state.
     """
 
     def __init__(
@@ -25,13 +25,13 @@
         submit: Callable[[api.EngineList], None],
         on_readiness_change: Callable[[], None],
     ) -> None:
-        """Pace the connections to engines.
+        """Create a pacer.
 
         Args:
-            schedule: Says when a connection may be opened.
-            endpoints: The engines as the policy sees them.
-            submit: Is given each engine that was hidden or is shown again, before `on_readiness_change`.
-            on_readiness_change: Is called after engines were hidden or shown.
+            schedule: Decides when a connection may be opened.
+            endpoints: The engines as the admission controller sees them.
+            submit: Called with each engine whose visible state changes, before `on_readiness_change`.
+            on_readiness_change: Called after the visible state of engines has changed.
         """
         self.schedule = schedule
         self.endpoints = endpoints
@@ -44,11 +44,11 @@
         return self.schedule.may_connect(engine_id, self._now())
 
     def record_connect(self, engine_id: int) -> None:
-        """Note that a connection to the engine is being opened."""
+        """Record that a connection to the engine is being opened."""
         self.schedule.record_connect(engine_id, self._now())
 
     def record_disconnect(self, engine_id: int) -> None:
-        """Note that the last connection to the engine ended, or the first was never established.
+        """Record that the last connection to the engine has ended, or that connecting has failed.
 
         The engine must have no other connection.
         """
@@ -60,11 +60,11 @@
         self._restart_timer()
 
     def on_list_change(self, listed: Set[int], connected: Set[int]) -> None:
-        """Apply a change of the engine list, before the policy sees it.
+        """Apply a change of the engine list, before the admission controller sees it.
 
         Args:
-            listed: The ids of the engines that the list names.
-            connected: The ids of the engines to which there is a connection.
+            listed: Ids of the engines in the list.
+            connected: Ids of the engines that have a connection.
         """
         self.schedule.set_engines(listed, self._now())
         self.endpoints.awaiting_connect_slot &= listed
@@ -74,7 +74,7 @@
         self._restart_timer()
 
     def set_instance_count(self, count: int) -> None:
-        """Share the rate of connections by `count` instances from now on."""
+        """Set the number of instances that share the connection rate."""
         self.schedule.instance_count = count
 
     @staticmethod
@@ -85,18 +85,20 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        slots = (
+        slot_times = (
             self.schedule.allowed_from.get(engine_id, -inf)
             for engine_id in self.endpoints.awaiting_connect_slot
         )
-        due = min(slots, default=None)
-        if due is not None:
-            self._timer = asyncio.get_running_loop().call_at(due, self._show_due)
+        next_slot_time = min(slot_times, default=None)
+        if next_slot_time is not None:
+            self._timer = asyncio.get_running_loop().call_at(next_slot_time, self._release_due_engines)
 
-    def _show_due(self) -> None:
-        for engine_id in [
+    def _release_due_engines(self) -> None:
+        """Present the engines whose slot has come in their listed state."""
+        due_engines = [
             engine_id for engine_id in self.endpoints.awaiting_connect_slot if self.may_connect(engine_id)
-        ]:
+        ]
+        for engine_id in due_engines:
             self.endpoints.awaiting_connect_slot.discard(engine_id)
             self.submit(self.endpoints.present(engine_id))
         self.on_readiness_change()
--- a/applevale/engines/connection.py
+++ b/applevale/engines/connection.py
@@ -1,4 +1,4 @@
-"""Connections to engines: each carries several attempts and probes at a time."""
+"""A connection to an engine, which multiplexes attempts and probes."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 if TYPE_CHECKING:
     from .engine import Engine
 
-# Share of the engine's idle timeout after which a connection is closed: later, the engine may be closing it.
-IDLE_TIMEOUT_SHARE = 0.8
+# Fraction of the engine's idle timeout after which a connection is closed, well before the engine closes it.
+IDLE_TIMEOUT_FRACTION = 0.8
 
 REPLY_COUNTERS = {status: f"engine_{status.decode()}" for status in resp.REPLY_STATUSES}
 PROBE_RESULTS = {resp.REPLY_PONG: Result.OK, resp.REPLY_REJECTED: Result.FULL}
@@ -30,19 +30,19 @@
 class EngineConnection:
     """A connection to one engine.
 
-    One task establishes it, reads it and ends it. Whatever ends it, each attempt and each probe that it
-    carries gets its result.
+    One task connects, reads and closes it. However it ends, each attempt and each probe on it gets a result.
 
     Attributes:
-        streams: The attempts and probes that it carries.
-        is_connected: It was established.
-        was_connected: The engine was reached: it was established, or reset while that went on.
-        is_closed: It is being closed; nothing may be added to it.
-        is_draining: It takes no further attempt or probe.
+        streams: The attempts and probes on the connection.
+        is_connected: Whether it was established.
+        was_reached: Whether the engine was reached: the connection was established, or reset by the engine
+            while connecting.
+        is_closed: Whether it is being closed; nothing may be added to it.
+        is_draining: Whether it accepts no more attempts and probes, and closes when the present ones end.
     """
 
     def __init__(self, engine: Engine) -> None:
-        """Begin to connect to an engine."""
+        """Create a connection, and a task that connects to the engine."""
         self.engine = engine
         self.pool = engine.pool
         self.streams = StreamTable()
@@ -50,7 +50,7 @@
         self.write_queue = self.transport.write_queue
         self.liveness = LivenessMonitor(self)
         self.is_connected = False
-        self.was_connected = False
+        self.was_reached = False
         self.is_closed = False
         self.is_draining = False
         self._idle_timer: asyncio.TimerHandle | None = None
@@ -58,11 +58,11 @@
 
     @property
     def stream_count(self) -> int:
-        """Number of attempts and probes that it carries."""
+        """Number of attempts and probes on the connection."""
         return len(self.streams)
 
     def accepts(self, request_id: bytes) -> bool:
-        """Return whether one more attempt may be added; an empty `request_id` stands for a probe."""
+        """Return whether an attempt may be added, or a probe if `request_id` is empty."""
         streams = self.streams
         return (
             not (self.is_closed or self.is_draining or streams.is_exclusive)
@@ -74,17 +74,18 @@
     def is_reusable(self) -> bool:
         """Return whether an idle connection may be used again.
 
-        Guards a command against the engine's close, still unread, behind which it could not be told from one
-        that executed; and its reply against the rest of a truncated one, which would corrupt it.
+        It may not if the engine has closed it, even if that is unread: a command that is written after the
+        close would count as possibly executed. It may not with an incomplete reply either, whose rest would
+        corrupt the next reply.
         """
         return self.transport.is_reusable()
 
     def send_command(self, *parts: bytes, on_written: Callable[[], None] | None = None) -> QueuedMessage:
-        """Queue a command; `on_written` is called once the system has all of it."""
+        """Queue a command; `on_written` is called when the kernel has accepted all of it."""
         return self.transport.send_command(*parts, on_written=on_written)
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Carry an attempt; its command is written at once, or when the connection is established."""
+        """Add an attempt; its command is queued now, or when the connection is established."""
         attempt.connection = self
         self.streams.add_attempt(attempt)
         self._mark_busy()
@@ -92,33 +93,34 @@
             self._send_execute(attempt)
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Stop carrying an attempt that has its result."""
+        """Remove an attempt that has its result."""
         self.streams.remove_attempt(attempt)
         self._start_idle_timer()
 
     def probe(self, tag: bytes, on_result: ProbeCallback) -> None:
-        """Ask the engine for its load; `on_result` is called once."""
+        """Request a load report from the engine; `on_result` is called once."""
         self.streams.probes[tag] = on_result
         self._mark_busy()
         if self.is_connected:
             self.send_command(resp.CMD_REPORT_LOAD, tag)
 
     def ping(self, tag: bytes) -> None:
-        """Ask the engine whether it still replies on this connection."""
+        """Send a ping, to check that the engine still replies on this connection."""
         self.pool.counters["links_checked"] += 1
         self.streams.probes[tag] = ignore_probe_result
         self.send_command(resp.CMD_PING, tag)
 
     def finish_probe(self, tag: bytes, result: Result, report: resp.LoadReport = ()) -> None:
-        """Give a probe or ping its result, unless it had one before."""
+        """Deliver the result of a probe or ping, unless it has one already."""
         if self.streams.finish_probe(tag, result, report):
             self._start_idle_timer()
 
     def withdraw_unsent(self) -> None:
-        """Fail the attempts whose commands are not being written yet: the engine takes nothing new.
+        """Fail the attempts whose commands are not being written yet, since the engine accepts no new ones.
 
-        Guards the grace period of a drain against commands that wait for the connection or behind a full
-        socket: a command that is being written leaves soon, or the connection is closed.
+        Commands must not reach a draining engine after the grace period, so those that wait for the
+        connection or behind a full socket buffer are withdrawn. The connection is closed if a command that is
+        being written makes no progress for half the grace period.
         """
         self.streams.withdraw_unsent(self.write_queue)
         if self.write_queue.pending_bytes:
@@ -127,25 +129,26 @@
             loop.call_later(wait, self._close_if_stalled, self.write_queue.completed_writes)
 
     def drain(self) -> None:
-        """Take no further attempt, and close once those that it carries have ended."""
+        """Accept no more attempts and probes, and close the connection when the present ones end."""
         self.is_draining = True
         self._mark_busy()
         self._start_idle_timer()
 
     def close(self, reason: str) -> None:
-        """Begin to close the connection; what it carries gets its results shortly after."""
+        """Begin to close the connection; its attempts and probes get their results shortly after."""
         if self.is_closed:
             return
         self.is_closed = True
         if self.stream_count:
             self.pool.counters["links_lost"] += 1
-            log_event("link", f"engine {self.engine.engine_id:08x}: {reason}, {self.stream_count} open")
-        if asyncio.current_task() is not self._task:  # else it has yet to end its attempts
+            open_streams = f"{self.stream_count} attempts and probes were open"
+            log_event("link", f"engine {self.engine.engine_id:08x}: {reason}, {open_streams}")
+        if asyncio.current_task() is not self._task:  # else the task itself finishes its streams
             self._task.cancel()
 
-    def _close_if_stalled(self, write_count: int) -> None:
-        if self.write_queue.pending_bytes and self.write_queue.completed_writes == write_count:
-            self.close("it takes nothing in, and drains")
+    def _close_if_stalled(self, completed_writes: int) -> None:
+        if self.write_queue.pending_bytes and self.write_queue.completed_writes == completed_writes:
+            self.close("write stalled during a drain")
 
     def _mark_busy(self) -> None:
         if self._idle_timer is not None:
@@ -154,19 +157,19 @@
         self.liveness.start()
 
     def _start_idle_timer(self) -> None:
-        """Close the connection after a while if it carries nothing, before the engine does.
+        """Start the timer that closes an idle connection before the engine does.
 
-        A command that crossed an idle close could not be told from one that executed.
+        A command that is sent while the engine closes the connection would count as possibly executed.
         """
         if self.stream_count or self.is_closed or self._idle_timer is not None:
             return
         self.liveness.stop()
-        wait = 0.0 if self.is_draining else self.pool.limits.idle_timeout * IDLE_TIMEOUT_SHARE
+        wait = 0.0 if self.is_draining else self.pool.limits.idle_timeout * IDLE_TIMEOUT_FRACTION
         self._idle_timer = asyncio.get_running_loop().call_later(wait, self.close, "idle")
 
     def _send_execute(self, attempt: Attempt) -> None:
         spec = attempt.spec
-        if not self.pool.may_send(spec, self.engine):  # checked again: it may have waited for the connection
+        if not self.pool.may_send(spec, self.engine):  # checked again after the wait for the connection
             attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.MOOT))
             return
         remaining = spec.deadline - asyncio.get_running_loop().time()
@@ -193,14 +196,14 @@
             reason = f"{type(error).__name__}: {str(error)[:80]}"
         finally:
             self.close(reason)
-            self._leave_pool()
+            self._detach_from_engine()
             try:
                 await self.transport.close()
             finally:
                 await self._finish_streams()
-                self._task = None  # a cancelled task refers back to this through its exception
+                self._task = None  # breaks a reference cycle through the exception of a cancelled task
 
-    def _leave_pool(self) -> None:
+    def _detach_from_engine(self) -> None:
         self.engine.connections.remove(self)
         if not self.engine.connections:
             self.pool.connect_policy.record_disconnect(self.engine.engine_id)
@@ -210,19 +213,19 @@
 
     async def _finish_streams(self) -> None:
         if self.is_connected and self.streams.attempts:
-            # A retry on another connection must not overtake the end of this one.
+            # Keeps a retry on another connection from reaching an engine before the end of this connection.
             await asyncio.sleep(CANCEL_SETTLE_SECONDS)
-        self.streams.finish_all(Result.RESET if self.was_connected else Result.CONNECT_FAILED)
+        self.streams.finish_all(Result.RESET if self.was_reached else Result.CONNECT_FAILED)
 
     async def _connect(self) -> None:
         timeout = self.pool.limits.connect_timeout
         try:
             await self.transport.connect(self.engine.address, self.pool.local_address, timeout)
         except ConnectionResetError:
-            self.was_connected = True
+            self.was_reached = True
             raise
         self.is_connected = True
-        self.was_connected = True
+        self.was_reached = True
         self.pool.counters["links_opened"] += 1
         for attempt in list(self.streams.attempts.values()):
             self._send_execute(attempt)
@@ -231,10 +234,10 @@
         self._start_idle_timer()
 
     def _handle_reply(self, reply: resp.Reply) -> None:
-        """Pass a reply on to the attempt or probe that it answers.
+        """Pass a reply to the attempt or probe that it belongs to.
 
         Raises:
-            CorruptReplyError: The reply is not valid, which ends the connection.
+            CorruptReplyError: The reply is invalid, so the connection must be closed.
         """
         self.liveness.last_active_at = asyncio.get_running_loop().time()
         report = resp.parse_load_report(reply.fields, self.pool.report_columns)
@@ -247,6 +250,6 @@
         attempt = self.streams.attempts.get(reply.tag)
         if attempt is not None and attempt.message is not None and not attempt.is_cancelled:
             attempt.handle_reply(reply, report)
-        # Else it crossed the cancel command, or is a copy, or of no request.
+        # Otherwise the reply crossed a cancel command, is repeated, or belongs to no attempt.
         elif attempt is not None and reply.status == resp.REPLY_RESULT and reply.has_further_pages():
             self.send_command(resp.CMD_RELEASE_RESULT, reply.tag)
--- a/applevale/engines/engine.py
+++ b/applevale/engines/engine.py
@@ -1,4 +1,4 @@
-"""One engine of the list, and the choice among its connections."""
+"""An engine of the list, and the selection of one of its connections."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 
 
 class Engine:
-    """One engine by its id: its address may go to another engine later.
+    """An engine, identified by its id; its address may be reused by another engine later.
 
     Attributes:
-        connections: All that are not ended, in the order in which they were opened.
+        state: State of the engine in the list.
+        started: Start time of the engine's process, as Unix time.
+        connections: Connections that have not ended, in the order in which they were opened.
     """
 
     def __init__(self, pool: EnginePool, endpoint: Endpoint) -> None:
-        """Hold an engine that the list names, without a connection."""
+        """Create an engine of the list without connections."""
         self.pool = pool
         self.engine_id = endpoint.entry.engine
         self.address = endpoint.address
@@ -30,11 +32,11 @@
         self.connections: list[EngineConnection] = []
 
     def update(self, endpoint: Endpoint) -> None:
-        """Apply what the list says of this engine."""
+        """Apply a new entry of the list for this engine."""
         entry = endpoint.entry
         is_replaced = (entry.started, endpoint.address) != (self.started, self.address)
         if is_replaced or entry.state is State.GONE:
-            self._drain_connections()  # they lead to the process before this one
+            self._drain_connections()  # they belong to an earlier process of the engine
         self.state = entry.state
         self.started = entry.started
         self.address = endpoint.address
@@ -42,23 +44,30 @@
             self.withdraw_unsent()
 
     def mark_gone(self) -> None:
-        """Treat the engine as gone, whatever the list said of it."""
+        """Treat the engine as gone, whatever its state in the list."""
         self.state = State.GONE
         self.withdraw_unsent()
         self._drain_connections()
 
     def withdraw_unsent(self) -> None:
-        """Fail the attempts whose commands are not being written yet: nothing new may reach the engine."""
+        """Fail the attempts whose commands are not being written yet."""
         for connection in list(self.connections):
             connection.withdraw_unsent()
 
     def pick_connection(
         self, request_id: bytes, excluded: Set[EngineConnection], exclusive: bool = False
     ) -> EngineConnection | None:
-        """Return a connection for one more attempt or probe; None if there is none and none may be opened.
+        """Return a connection for one more attempt or probe, or None if none is available.
 
-        An idle one comes first, the last one used, so that the others may close; then a new one; and with
-        too many of them the one that carries least, for a corrupt reply ends all else on its connection.
+        The first choice is the most recently used idle connection, so that the others can reach their idle
+        timeout. The second is a new connection, unless busy ones are to be shared. The third, if none may be
+        opened, is the busy one with the fewest streams, since a corrupt reply ends all streams of its
+        connection.
+
+        Args:
+            request_id: Id of the request of the attempt; empty for a probe.
+            excluded: Connections that must not be used.
+            exclusive: Whether the attempt must not share a connection, if one can be opened.
         """
         usable = [
             connection
@@ -80,10 +89,11 @@
         return min(busy, key=lambda connection: connection.stream_count) if busy else None
 
     def _may_open_connection(self, has_other: bool) -> bool:
+        """Return whether a connection may be opened; an engine without a usable one may exceed its share."""
         pool = self.pool
-        share = pool.max_connections // max(1, len(pool.engines))
+        fair_share = pool.max_connections // max(1, len(pool.engines))
         return (
-            (len(self.connections) < share or not has_other)
+            (len(self.connections) < fair_share or not has_other)
             and pool.connection_count() < pool.max_connections
             and pool.connect_policy.may_connect(self.engine_id)
         )
--- a/applevale/engines/liveness.py
+++ b/applevale/engines/liveness.py
@@ -1,4 +1,4 @@
-"""Liveness of connections to engines: pings on those that are busy and silent."""
+"""Liveness checks of connections to engines: pings on busy connections that are silent."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
     from .connection import EngineConnection
 
 PING_TIMEOUT_SECONDS = 0.4
-MAX_TIMER_LATENESS_SECONDS = 0.1  # beyond it the event loop stood still, and replies may lie unread
+MAX_TIMER_LATENESS_SECONDS = 0.1  # a later timer means that the event loop stalled, with replies unread
 
 
 class LivenessMonitor:
-    """Pings a busy connection that was silent for too long, and closes it if no reply comes.
+    """Pings a busy connection that has been silent for too long, and closes it if no reply comes.
 
-    Guards attempts against a connection that stays open but is of no further use, after a corrupt reply or
-    with one that was cut short: closed, it gives them their results.
+    After a corrupt or truncated reply, a connection may stay open without ever delivering another reply.
+    Closing it gives its attempts and probes their results.
 
     Attributes:
-        last_active_at: When the last whole reply came, or when the connection last became busy; in seconds
-            of the event loop's clock.
-        ping_tag: The tag of the last ping; while the connection waits for its reply, it is not to be trusted.
+        last_active_at: Time, by the event loop's clock, of the last complete reply, or of the moment at which
+            the connection became busy.
+        ping_tag: Tag of the last ping; until its reply comes, the connection accepts nothing new.
     """
 
     def __init__(self, connection: EngineConnection) -> None:
-        """Watch over one connection."""
+        """Create a monitor for one connection."""
         self.last_active_at = 0.0
         self.ping_tag: bytes | None = None
         self._connection: EngineConnection | None = connection
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Watch the connection from now on, unless it is watched already or closed."""
+        """Begin to monitor the connection, unless that is under way or the connection is closed."""
         if self._timer is None and not self._connection.is_closed:
             self.last_active_at = asyncio.get_running_loop().time()
-            self._schedule(self._connection.pool.liveness_interval())
+            self._schedule(self._connection.pool.ping_interval())
 
     def stop(self) -> None:
-        """Stop watching; it may be started again."""
+        """Stop monitoring; `start` may be called again."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def close(self) -> None:
-        """Stop for good, and drop the reference to the connection: a cycle would wait for the collector."""
+        """Stop for good, and drop the reference to the connection, to break a reference cycle."""
         self.stop()
         self._connection = None
 
@@ -58,7 +58,7 @@
         self._timer = None
         if connection.is_closed or not connection.stream_count:
             return
-        interval = connection.pool.liveness_interval()
+        interval = connection.pool.ping_interval()
         if not connection.is_connected or now - due > MAX_TIMER_LATENESS_SECONDS:
             self._schedule(PING_TIMEOUT_SECONDS)
         elif self.ping_tag in connection.streams.probes:
@@ -67,6 +67,6 @@
         elif now - self.last_active_at < interval:
             self._schedule(self.last_active_at + interval - now)
         else:
-            self.ping_tag = connection.pool.next_tag()
+            self.ping_tag = connection.pool.next_probe_tag()
             connection.ping(self.ping_tag)
             self._schedule(PING_TIMEOUT_SECONDS)
--- a/applevale/engines/observer.py
+++ b/applevale/engines/observer.py
@@ -1,4 +1,4 @@
-"""What a pool of engines asks before it connects, and to whom it reports what engines send."""
+"""Interfaces of the engine pool: a policy that limits connecting, and an observer of traffic."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class ConnectPolicy(Protocol):
-    """Limits how often connections to each engine are opened."""
+    """Decides when connections to each engine may be opened."""
 
     def may_connect(self, engine_id: int) -> bool:
         """Return whether a connection to the engine may be opened now."""
 
     def record_connect(self, engine_id: int) -> None:
-        """Note that a connection to the engine is being opened."""
+        """Record that a connection to the engine is being opened."""
 
     def record_disconnect(self, engine_id: int) -> None:
-        """Note that the last connection to the engine ended, or the first was never established."""
+        """Record that the last connection to the engine has ended, or that connecting has failed."""
 
 
 class UnlimitedConnects:
-    """A connect policy that allows every connection."""
+    """A connect policy without limits."""
 
     def may_connect(self, engine_id: int) -> bool:
         """Return True."""
@@ -35,10 +35,10 @@
 
 
 class EngineObserver:
-    """Receives the traffic with engines; this base class ignores all of it."""
+    """Is notified of the traffic with engines; this base class does nothing."""
 
     def on_load_report(self, engine_id: int, report: LoadReport) -> None:
-        """Handle the load that an engine reported with a reply, before the reply itself is handled."""
+        """Handle the load report in a reply of an engine, before the reply itself is handled."""
 
     def on_attempt_written(self, class_name: str) -> None:
-        """Handle the event that the command of an attempt of a class was written whole."""
+        """Handle the complete write of the execute command of an attempt."""
--- a/applevale/engines/streams.py
+++ b/applevale/engines/streams.py
@@ -1,4 +1,4 @@
-"""What one connection to an engine carries: attempts, and probes without a reply."""
+"""The streams that one connection to an engine carries: attempts and probes."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 def ignore_probe_result(result: Result, report: resp.LoadReport) -> None:
-    """Do nothing: the callback of a ping, of which only the reply itself matters."""
+    """Do nothing; the callback of pings, whose replies only show that the connection works."""
 
 
 class StreamTable:
-    """The attempts and probes that a connection carries; each ends once.
+    """The open attempts and probes of a connection; each gets one result.
 
     Attributes:
-        attempts: The attempts by their request ids, in order.
-        probes: Callbacks of the probes and pings without a reply, by their tags.
-        is_exclusive: It has an attempt that must not execute twice, and takes nothing beside it.
+        attempts: Open attempts by request id, in order of their start.
+        probes: Callbacks of the open probes and pings, by tag.
+        is_exclusive: Whether an exclusive attempt is open, beside which nothing may be added.
     """
 
     __slots__ = ("attempts", "is_exclusive", "probes")
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self.attempts: dict[bytes, Attempt] = {}
         self.probes: dict[bytes, ProbeCallback] = {}
         self.is_exclusive = False
@@ -38,18 +38,18 @@
         return len(self.attempts) + len(self.probes)
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Add an attempt, whose request id is not yet in use."""
+        """Add an attempt; none with the same request id may be open."""
         self.attempts[attempt.spec.request_id] = attempt
         self.is_exclusive |= attempt.spec.exclusive
 
     def remove_attempt(self, attempt: Attempt) -> None:
-        """Remove an attempt that has its result, unless another one has taken its place."""
+        """Remove an attempt that has its result, unless another one with the same request id replaced it."""
         if self.attempts.get(attempt.spec.request_id) is attempt:
             del self.attempts[attempt.spec.request_id]
         self.is_exclusive = self.is_exclusive and bool(self.attempts)
 
     def finish_probe(self, tag: bytes, result: Result, report: resp.LoadReport = ()) -> bool:
-        """Give a probe or ping its result; return False if it had one before."""
+        """Deliver the result of a probe or ping; return False if it is not open."""
         on_result = self.probes.pop(tag, None)
         if on_result is None:
             return False
@@ -57,7 +57,7 @@
         return True
 
     def withdraw_unsent(self, write_queue: WriteQueue) -> None:
-        """Fail the attempts whose commands are not being written yet, and take these from the queue."""
+        """Fail the attempts whose commands are not being written yet, and dequeue the commands."""
         for attempt in list(self.attempts.values()):
             if attempt.is_cancelled:
                 continue
@@ -65,7 +65,7 @@
                 attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.MOOT))
 
     def finish_all(self, probe_result: Result) -> None:
-        """End all attempts by what the end of their connection proves, and all probes with `probe_result`."""
+        """Finish all streams after the end of the connection, the probes with `probe_result`."""
         for attempt in list(self.attempts.values()):
             attempt.finish(attempt.result_after_disconnect())
         for tag in list(self.probes):
--- a/applevale/net/__init__.py
+++ b/applevale/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets shared by several packages: ordered writes, datagrams between instances."""
+"""Socket utilities: addresses, write queues, socket status, datagrams between instances."""
--- a/applevale/net/addresses.py
+++ b/applevale/net/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of sockets, and those at which instances exchange datagrams."""
+"""Socket addresses, and the addresses at which instances exchange datagrams."""
 
 from __future__ import annotations
 
@@ -15,8 +15,15 @@
 
 @dataclass(frozen=True)
 class PeerAddresses:
-    """The addresses for datagrams between instances."""
+    """The addresses at which instances exchange datagrams.
+
+    Attributes:
+        listen: Address that this instance binds.
+        each: Addresses of all instances, in the order of their numbers.
+        everyone: Address that delivers a datagram to all instances, such as a multicast group; None if there
+            is none.
+    """
 
     listen: Address
-    each: tuple[Address, ...]  # of all instances, in the order of their numbers
-    everyone: Address | None  # a datagram sent there reaches all; None: there is no such address
+    each: tuple[Address, ...]
+    everyone: Address | None
--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket between instances, shared by several protocols."""
+"""The UDP socket on which instances exchange the datagrams of several protocols."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 
 from ..observability.counters import Counters
 from ..observability.events import log_event
-from .addresses import Address, PeerAddresses
+from .addresses import Address, PeerAddresses, format_address
 
-MAX_READS_PER_WAKEUP = 64  # so that a flood of datagrams leaves time for the rest
+MAX_READS_PER_WAKEUP = 64  # leaves time for other sockets while many datagrams arrive
 MAX_DATAGRAM_BYTES = 256
 
-DatagramHandler = Callable[[int, bytes], None]  # number of the sender, data
+DatagramHandler = Callable[[int, bytes], None]  # arguments: number of the sender, data
 
 
 class DatagramSocket:
-    """Sends datagrams, and passes received ones to the handler of their protocol, by their first byte.
+    """Sends datagrams, and passes each received one to the handler for its first byte, the protocol.
 
-    Only datagrams from the addresses of peers are accepted. Those of other senders and of unknown protocols
-    are logged and counted as `news_unreadable`.
+    Only datagrams from the addresses of peers are accepted. Datagrams from other senders or of unknown
+    protocols are logged and counted as `news_unreadable`.
 
     Attributes:
         addresses: The addresses of the instances.
-        handlers: The handler of each protocol, by the first byte of its datagrams.
+        handlers: Handler of each protocol, by the first byte of its datagrams.
     """
 
     def __init__(self, addresses: PeerAddresses, me: int, counters: Counters, shared: bool = False):
-        """Bind the socket of the instance with the number `me`.
+        """Create the socket of an instance and bind it.
 
         Args:
-            addresses: The addresses of all instances; the socket binds `listen`.
-            me: Index into `addresses.each`; an index past its end counts as an instance of its own.
-            counters: Where rejected datagrams are counted.
-            shared: Whether a second process of the same instance may bind the address too and receive all.
+            addresses: The addresses of all instances; the socket is bound to `listen`.
+            me: Number of this instance, an index into `addresses.each`. If it is past the end, the address of
+                this instance is `addresses.listen`.
+            counters: Counters of rejected datagrams.
+            shared: Whether a second process of this instance may bind the same address, and then receives
+                all datagrams.
 
         Raises:
             OSError: The address cannot be bound.
@@ -42,7 +44,7 @@
         self.addresses = addresses
         self.counters = counters
         self.handlers: dict[int, DatagramHandler] = {}
-        # The instance's own datagrams may come back from the address that reaches all.
+        # Datagrams that this instance sends to `addresses.everyone` also come back to it.
         self.own_address = addresses.each[me] if me < len(addresses.each) else addresses.listen
         self.peer_numbers = {
             address: number for number, address in enumerate(addresses.each) if address != self.own_address
@@ -54,27 +56,27 @@
         self.sock.bind(addresses.listen)
 
     def start(self) -> None:
-        """Start to receive, in the running loop."""
+        """Begin to receive datagrams on the running event loop."""
         asyncio.get_running_loop().add_reader(self.sock, self._on_readable)
 
     def stop(self) -> None:
-        """Stop receiving and close the socket."""
+        """Stop receiving datagrams and close the socket."""
         asyncio.get_running_loop().remove_reader(self.sock)
         self.sock.close()
 
     def send(self, data: bytes, target: Address) -> bool:
-        """Send a datagram; return False if the system refused it. It is not sent again."""
+        """Send a datagram once; return False if the system reports an error."""
         try:
             self.sock.sendto(data, target)
         except OSError as error:
-            log_event("peers", f"not sent: {error}")
+            log_event("peers", f"sending to {format_address(target)} failed: {error}")
             return False
         return True
 
     def reject(self, sender: Address, reason: str) -> None:
-        """Count and log a datagram that cannot be used."""
+        """Count and log a received datagram that cannot be used."""
         self.counters["news_unreadable"] += 1
-        log_event("peers", f"{sender[0]}:{sender[1]}: {reason}")
+        log_event("peers", f"{format_address(sender)}: {reason}")
 
     def _on_readable(self) -> None:
         for _ in range(MAX_READS_PER_WAKEUP):
@@ -82,8 +84,8 @@
                 data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # the system reports that an earlier datagram reached no one
-                log_event("peers", f"{type(error).__name__}: {error}")
+            except OSError as error:  # the system reports that an earlier datagram was not delivered
+                log_event("peers", f"receiving failed: {type(error).__name__}: {error}")
                 return
             self._dispatch(data, sender)
 
@@ -92,10 +94,10 @@
             return
         number = self.peer_numbers.get(sender)
         if number is None:
-            self.reject(sender, "not one of the peers")
+            self.reject(sender, "the sender is not among the addresses of the peers")
             return
         handler = self.handlers.get(data[0]) if data else None
         if handler is None:
-            self.reject(sender, f"{len(data)} bytes of an unknown protocol")
+            self.reject(sender, f"unknown protocol in a datagram of {len(data)} bytes")
             return
         handler(number, data)
--- a/applevale/net/write_queue.py
+++ b/applevale/net/write_queue.py
@@ -8,17 +8,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MAX_MESSAGES_PER_WRITE = 64
+MAX_MESSAGES_PER_WRITE = 64  # messages that are joined into one write
 
 
 @dataclass
 class QueuedMessage:
-    """One message of a write queue.
+    """A message in a write queue.
 
     Attributes:
         data: The bytes to write.
-        on_written: Called once the kernel has accepted the whole message.
-        write_started: Whether some of the message may have been sent.
+        on_written: Called when the kernel has accepted the whole message.
+        write_started: Whether a part of the message may have been sent.
     """
 
     data: bytes
@@ -27,17 +27,17 @@
 
 
 def _ignore_failure(reason: str) -> None:
-    """Replace the failure callback of a closed queue."""
+    """Do nothing; the failure callback of a closed queue."""
 
 
 class WriteQueue:
-    """Writes messages to one socket in the order in which they were queued.
+    """Writes messages to one socket in the order in which they are queued.
 
-    One task writes for as long as messages are queued, and joins several of them into one write.
+    A task runs while messages are queued, and joins several of them into each write.
 
     Attributes:
-        pending_bytes: Bytes that are queued and not yet written.
-        completed_writes: Number of writes that the kernel has accepted whole.
+        pending_bytes: Number of bytes that are queued and not written yet.
+        completed_writes: Number of writes that the kernel has accepted completely.
         closed: Whether the queue accepts no further messages.
     """
 
@@ -45,9 +45,9 @@
         """Create an empty queue.
 
         Args:
-            sock: A connected non-blocking socket, which the caller closes.
-            stall_timeout: Seconds after which a write that the peer does not accept fails.
-            on_failure: Called with the reason when a write fails.
+            sock: A connected non-blocking socket; the caller closes it.
+            stall_timeout: Timeout of a write in seconds, for a peer that does not read.
+            on_failure: Called with the reason if a write fails.
         """
         self._sock = sock
         self._stall_timeout = stall_timeout
@@ -63,10 +63,10 @@
 
         Args:
             data: The bytes to write.
-            on_written: Called once the kernel has accepted the whole message.
+            on_written: Called when the kernel has accepted the whole message.
 
         Returns:
-            The message, by which it can be withdrawn.
+            The queued message, for `withdraw`.
         """
         message = QueuedMessage(data, on_written)
         if not self.closed:
@@ -77,7 +77,7 @@
         return message
 
     def withdraw(self, message: QueuedMessage) -> bool:
-        """Remove a message of which nothing was written; return whether that was so."""
+        """Remove a message whose write has not started; return whether it was removed."""
         if message.write_started or message not in self._messages:
             return False
         self._messages.remove(message)
@@ -98,7 +98,7 @@
                         message.on_written()
         except (OSError, TimeoutError) as error:
             self.closed = True
-            self._on_failure(f"write: {type(error).__name__}")
+            self._on_failure(f"write failed: {type(error).__name__}")
         finally:
             self._task = None
 
@@ -110,7 +110,7 @@
         return batch
 
     def discard(self) -> int:
-        """Close the queue and drop what is not yet written.
+        """Close the queue and drop all messages that are not written yet.
 
         Returns:
             The number of bytes dropped.
@@ -124,17 +124,17 @@
         return discarded_bytes
 
     async def flush(self) -> None:
-        """Wait until everything queued is written or the write has failed."""
+        """Wait until all messages are written or a write has failed."""
         if self._task is not None:
             await asyncio.wait([self._task])
 
     async def close(self) -> None:
-        """Close the queue and end the write in progress, so that the socket can be closed."""
+        """Close the queue and cancel the write in progress, so that the socket can be closed."""
         self.closed = True
         if self._task is not None and self._task is not asyncio.current_task():
             self._task.cancel()
             await asyncio.wait([self._task])
-        # The callbacks refer to the owner of the queue: kept, they would form a reference cycle, which holds
-        # all of a connection's memory until the garbage collector runs.
+        # The callbacks refer to the owner of the queue. Such a reference cycle would keep the memory of the
+        # connection until the garbage collector runs.
         self._messages.clear()
         self._on_failure = _ignore_failure
--- a/tests/test_corrupt_replies.py
+++ b/tests/test_corrupt_replies.py
@@ -116,9 +116,9 @@
 def test_pings_are_rare_where_probes_are_expensive_but_not_while_corruption_is_suspected(price, interval):
     async def main():
         pool = EnginePool(ConnectionLimits(32, 15.0, 0.25, probe_price=price), (), 8, Counters())
-        usual = pool.liveness_interval()
+        usual = pool.ping_interval()
         pool.record_corrupt_response()
-        return usual, pool.liveness_interval()
+        return usual, pool.ping_interval()
 
     assert asyncio.run(main()) == (interval, 1.0)
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -57,10 +57,10 @@
         self.closed = []
         self.corrupt_count = 0
 
-    def liveness_interval(self):
+    def ping_interval(self):
         return 3.0
 
-    def next_tag(self):
+    def next_probe_tag(self):
         return b"p1"
 
     def record_corrupt_response(self):
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -139,7 +139,7 @@
         self.commands = []
         self.write_callbacks = []
         self.write_queue = self
-        self.was_connected = True
+        self.was_reached = True
 
     def withdraw(self, message):
         return not message.write_started
