--- a/applevale/engines/engine.py
+++ b/applevale/engines/engine.py
@@ -18,7 +18,7 @@
 
     Attributes:
         state: State of the engine in the list.
-        started: Start time of the engine's process, as Unix time.
+        started_at: Start time of the engine's process, as Unix time.
         connections: Connections that have not ended, in the order in which they were opened.
     """
 
@@ -28,17 +28,17 @@
         self.engine_id = endpoint.entry.engine
         self.address = endpoint.address
         self.state = endpoint.entry.state
-        self.started = endpoint.entry.started
+        self.started_at = endpoint.entry.started
         self.connections: list[EngineConnection] = []
 
     def update(self, endpoint: Endpoint) -> None:
         """Apply a new entry of the list for this engine."""
         entry = endpoint.entry
-        is_replaced = (entry.started, endpoint.address) != (self.started, self.address)
+        is_replaced = (entry.started, endpoint.address) != (self.started_at, self.address)
         if is_replaced or entry.state is State.GONE:
             self._drain_connections()  # they belong to an earlier process of the engine
         self.state = entry.state
-        self.started = entry.started
+        self.started_at = entry.started
         self.address = endpoint.address
         if self.state is not State.READY:
             self.withdraw_unsent()
--- a/applevale/engines/resp.py
+++ b/applevale/engines/resp.py
@@ -52,6 +52,7 @@
 DEFAULT_PRIORITY = 1  # the priority if an execute command has no priority field
 MAX_REPLY_BYTES = 16_384  # one reply including its framing; a page has at most 6,000 bytes
 MAX_RESULT_PAGES = 64
+MAX_INTEGER_DIGITS = 9  # further digits are ignored, since the number is out of range anyway
 
 REPLY_PART_COUNT = 4  # tag, status, fields, body
 _REPLY_HEADER = b"*4\r\n"
@@ -229,7 +230,9 @@
     Raises:
         CorruptReplyError: The text is anything else. A default in its place could truncate a result.
     """
-    if text is None or not text.isdecimal() or not 1 <= (value := int(text[:9])) <= limit:
+    is_decimal = text is not None and text.isdecimal()
+    value = int(text[:MAX_INTEGER_DIGITS]) if is_decimal else 0
+    if not 1 <= value <= limit:
         raise CorruptReplyError(f"page number or page count: 1 to {limit} expected, not {str(text)[:20]!r}")
     return value
 
--- a/applevale/net/addresses.py
+++ b/applevale/net/addresses.py
@@ -20,8 +20,7 @@
     Attributes:
         listen: Address that this instance binds.
         each: Addresses of all instances, in the order of their numbers.
-        everyone: Address that delivers a datagram to all instances, such as a multicast group; None if there
-            is none.
+        everyone: Address at which one datagram reaches all instances; None if there is none.
     """
 
     listen: Address
--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -44,7 +44,7 @@
         self.addresses = addresses
         self.counters = counters
         self.handlers: dict[int, DatagramHandler] = {}
-        # Datagrams that this instance sends to `addresses.everyone` also come back to it.
+        # A datagram that this instance sends to all instances may also reach itself.
         self.own_address = addresses.each[me] if me < len(addresses.each) else addresses.listen
         self.peer_numbers = {
             address: number for number, address in enumerate(addresses.each) if address != self.own_address
