--- a/tests/process.py
+++ b/tests/process.py
@@ -1,4 +1,4 @@
-"""Real processes of the program on loopback addresses, with the toy engine of the examples behind them."""
+"""Processes of the program on loopback addresses, with the toy engine from `examples/`."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from toy_engine import Handler, ToyEngine  # noqa: E402
 
 EXAMPLE_CONFIG = (ROOT / "examples" / "config.json").read_text()
-EXAMPLE_ENGINE_PORT = ":7101"  # as the example configuration has it
+EXAMPLE_ENGINE_PORT = ":7101"  # port of the engine in the example configuration
 LOOPBACK = "127.0.0.1"
 ANY_PORT = f"{LOOPBACK}:0"
 
-# Commands to engines, as they are on the wire.
+# Names of engine commands on the wire.
 EXECUTE = b"want"
 CANCEL = b"never_mind"
 
 EVENT_TIMEOUT_SECONDS = 20.0
 EXIT_TIMEOUT_SECONDS = 30.0
-GRACEFUL_EXIT_TIMEOUT_SECONDS = 15.0  # after SIGTERM, once all responses were read
-LATENESS_LINE = r"^loop: "  # the event loop reports that it is late, as on a busy machine
+GRACEFUL_EXIT_TIMEOUT_SECONDS = 15.0  # from the last response after SIGTERM to the exit
+LATENESS_LINE = r"^loop: "  # the event loop reports lateness, which happens on a busy machine
 POLL_INTERVAL_SECONDS = 0.002
-REPLY_PIECE_BYTES = 701  # divides no page of a reply
+REPLY_PIECE_BYTES = 701  # no page of a reply is a multiple of it
 
 
 def wait_until(condition: Callable[[], object]) -> None:
-    """Return when `condition` is true; fail after EVENT_TIMEOUT_SECONDS."""
+    """Wait until `condition` is true; fail after EVENT_TIMEOUT_SECONDS."""
     deadline = time.monotonic() + EVENT_TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, "the condition did not become true in time"
@@ -45,10 +45,10 @@
 
 
 def reserve_port() -> socket.socket:
-    """Return a socket that is bound to a free loopback port and does not listen.
+    """Return a socket that is bound to a free loopback port but does not listen.
 
-    Connections to the port are refused until someone listens on it: the program, whose listeners set
-    SO_REUSEADDR, or the socket itself. While the socket is open the kernel gives the port to no one else.
+    Connections to the port are refused until a socket listens on it: this one, or one of the program, whose
+    listeners set SO_REUSEADDR. While this socket is open, the kernel does not assign the port to others.
     """
     reserved = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -63,16 +63,16 @@
 
 
 class ProgramProcess:
-    """A process of the program, started at once.
+    """A process of the program; the constructor starts it.
 
-    A thread reads its log as it is written, so that the process never blocks on a full pipe.
+    A thread reads the log continuously, so that the process never blocks on a full pipe.
     """
 
     def __init__(self, config_path: Path, listen: str = ANY_PORT):
         environment = os.environ | {"BALANCER_CONFIG": str(config_path), "BALANCER_LISTEN": listen}
         command = [sys.executable, "-m", "applevale"]
         self.popen = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True)
-        atexit.register(self.popen.kill)  # a failed test may leave the process running
+        atexit.register(self.popen.kill)  # in case a failed test leaves the process running
         self._lines: list[str] = []
         self._lines_consumed = 0
         self._log_ended = False
@@ -91,16 +91,18 @@
 
     @property
     def log(self) -> str:
-        """What the process has logged up to now."""
+        """The log of the process so far."""
         with self._log_changed:
             return "".join(self._lines)
 
     def wait_for_log_line(self, pattern: str, skipped: str = "") -> re.Match:
-        """Return the match of the next line in which `pattern` is found; a later call continues behind it.
+        """Return the match of `pattern` in the next log line that contains it.
+
+        The next call continues after that line.
 
         Args:
             pattern: A regular expression.
-            skipped: A regular expression for the lines that may come before it; the default is any line.
+            skipped: A regular expression that each line before it must match; by default any line matches.
         """
         deadline = time.monotonic() + EVENT_TIMEOUT_SECONDS
         with self._log_changed:
@@ -110,14 +112,14 @@
                     self._lines_consumed += 1
                     if match := re.search(pattern, line):
                         return match
-                    assert re.search(skipped, line), f"instead of {pattern!r} came {line!r}"
+                    assert re.search(skipped, line), f"log line {line!r} precedes the expected {pattern!r}"
                 time_left = deadline - time.monotonic()
                 is_possible = not self._log_ended and time_left > 0
-                assert is_possible, f"no line of the log matches {pattern!r}: {self._lines}"
+                assert is_possible, f"no log line matches {pattern!r}: {self._lines}"
                 self._log_changed.wait(time_left)
 
     def wait_for_address(self) -> tuple[str, int]:
-        """Return the address on which the program serves clients, when it listens there."""
+        """Wait until the program listens for clients, and return the address."""
         match = self.wait_for_log_line(r"listens on (.+):(\d+)$", skipped=LATENESS_LINE)
         return match[1], int(match[2])
 
@@ -126,39 +128,39 @@
         self.popen.send_signal(signal_number)
 
     def suspend(self) -> None:
-        """Stop the process, and return when the kernel has stopped it."""
+        """Stop the process with SIGSTOP, and wait until it is stopped."""
         self.popen.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.popen.pid, os.WSTOPPED)
 
     def resume(self) -> None:
-        """Let a suspended process continue."""
+        """Resume a suspended process."""
         self.popen.send_signal(signal.SIGCONT)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not exited."""
+        """Whether the process is running."""
         return self.popen.poll() is None
 
     def wait(self, timeout: float = EXIT_TIMEOUT_SECONDS) -> int:
-        """Return the exit status, when the process has exited and its log is read to the end."""
+        """Wait until the process exits and its log is read to the end; return the exit status."""
         status = self.popen.wait(timeout)
         self._log_reader.join(EXIT_TIMEOUT_SECONDS)
-        assert not self._log_reader.is_alive(), "the log was not read to its end"
+        assert not self._log_reader.is_alive(), "the log did not end when the process exited"
         return status
 
     def terminate(self) -> int:
-        """Send SIGTERM, unless the process has exited, and return the exit status."""
+        """Send SIGTERM unless the process has exited; return the exit status."""
         if self.is_running:
             self.send_signal(signal.SIGTERM)
         return self.wait()
 
     def logged_counters(self) -> dict[str, float]:
-        """Return the counters as they were logged last."""
+        """Return the counters that were logged last."""
         return json.loads(re.findall(r"counters (.*)", self.log)[-1])
 
 
 class SplittingHandler(Handler):
-    """Sends each reply of the engine in many small pieces."""
+    """An engine handler that sends each reply in many small pieces."""
 
     def send(self, data: bytes) -> None:
         """Send a reply in pieces."""
@@ -167,13 +169,13 @@
 
 
 class Instance:
-    """An instance of the program that listens, with a toy engine of its own.
+    """A running instance of the program with its own toy engine.
 
     Attributes:
         config_path: The configuration file of the process.
-        engine: The engine, at the place of the one in the example configuration.
+        engine: The engine, which replaces the one in the example configuration.
         process: The process.
-        address: Where it serves clients.
+        address: Address at which it serves clients.
     """
 
     def __init__(
@@ -192,20 +194,20 @@
         return self.engine.server_address[1]
 
     def engine_commands(self, request_id: str) -> list[bytes]:
-        """Return the names of the commands that the engine got for a request, in order."""
+        """Return the names of the commands that the engine received for a request, in order."""
         return [command[0] for command in self.engine.seen if command[1] == request_id.encode()]
 
     def executed_request_ids(self) -> list[bytes]:
-        """Return the request ids of all commands to execute that the engine got, in order."""
+        """Return the request ids of all execute commands that the engine received, in order."""
         return [command[1] for command in self.engine.seen if command[0] == EXECUTE]
 
     def stop(self) -> dict[str, float]:
-        """End the process and the engine; return the counters that the process logged last."""
+        """Stop the process and the engine; return the counters that the process logged last."""
         self.close()
         return self.process.logged_counters()
 
     def close(self) -> None:
-        """End the process, if it still runs, and the engine."""
+        """Stop the process, unless it has exited, and the engine."""
         self.process.terminate()
         self.engine.shutdown()
         self.engine.server_close()
--- a/tests/test_arrival_order.py
+++ b/tests/test_arrival_order.py
@@ -1,4 +1,4 @@
-"""The order of arrivals, for all orders of ticks, waits and reads; without a socket."""
+"""Tests of the order of arrivals, for all orders of ticks, waits and reads; without sockets."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def tick_on_time(order, start, count):
-    """Tick `count` times without a stall, and return the time of the last tick."""
+    """Tick `count` times at the regular interval, and return the time of the last tick."""
     for index in range(count):
         assert not order.on_tick(start + index * TICK_SECONDS)
     return start + (count - 1) * TICK_SECONDS
@@ -22,19 +22,21 @@
 @pytest.mark.parametrize(
     "wait_started_at, emptied, earliest_arrival, read_up_to",
     [
-        (10.0, True, 10.05, 10.05),  # waited since before the last poll, which found nothing
-        (10.0, False, 10.05, 9.0),  # what was left unread is no newer
-        (10.06, True, 9.0, 10.05),  # not waited for at the last poll: it may have been there
+        (10.0, True, 10.05, 10.05),  # waited for before the last poll, which found no data
+        (10.0, False, 10.05, 9.0),  # the data left behind may be as old as the data that was read
+        (10.06, True, 9.0, 10.05),  # not waited for at the last poll, so the data may be older
         (10.06, False, 9.0, 9.0),
     ],
 )
-def test_the_earliest_arrival_of_what_was_read(wait_started_at, emptied, earliest_arrival, read_up_to):
+def test_the_earliest_arrival_of_data_depends_on_the_wait_and_the_last_poll(
+    wait_started_at, emptied, earliest_arrival, read_up_to
+):
     source = Source(9.0)
     assert source.record_read(wait_started_at, 10.05, emptied) == earliest_arrival
     assert source.read_up_to == read_up_to
 
 
-def test_a_loop_on_time_knows_the_order_and_a_stalled_one_does_not():
+def test_the_order_of_arrival_is_known_unless_the_loop_has_stalled():
     order = ArrivalOrder()
     first = Source()
     second = Source()
@@ -46,13 +48,16 @@
     assert order.on_tick(now + 0.4) and order.is_catching_up
     now += 0.4
     arrivals = {source: source.record_read(now - 1.0, order.polled_at, True) for source in (first, second)}
-    assert order.is_in_order(7, first, arrivals[first], now)  # after all that was read before the stall
-    assert order.is_in_order(7, first, arrivals[first], now)  # one connection keeps its order
+    # The previous request with this key was read before the stall.
+    assert order.is_in_order(7, first, arrivals[first], now)
+    # Requests on the same connection are always in order.
+    assert order.is_in_order(7, first, arrivals[first], now)
     assert not order.is_in_order(7, second, arrivals[second], now)
-    assert order.is_in_order(8, second, arrivals[second], now)  # another key
+    # There is no previous request with this key.
+    assert order.is_in_order(8, second, arrivals[second], now)
 
 
-def test_catching_up_ends_once_each_socket_was_read_or_is_empty_and_after_a_limit():
+def test_catching_up_ends_when_each_socket_is_read_or_empty_or_after_a_time_limit():
     order = ArrivalOrder()
     read = Source()
     unread = Source()
@@ -69,7 +74,7 @@
     assert order.finish_catching_up(False, now + 1.0 + MAX_CATCH_UP_SECONDS + TICK_SECONDS)
 
 
-def test_old_keys_are_forgotten():
+def test_requests_are_not_remembered_beyond_the_retention_time():
     order = ArrivalOrder()
     source = Source()
     for key in range(1000):
@@ -77,5 +82,5 @@
     assert len(order.last_requests) <= KEY_RETENTION_SECONDS + 1
 
 
-def test_clients_space_their_requests_wider_than_what_counts_as_one_moment():
+def test_the_request_spacing_is_above_the_tick_interval_and_below_the_spacing_of_clients():
     assert TICK_SECONDS < MIN_REQUEST_SPACING_SECONDS < 0.06
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Races of two events, on real sockets and in a forced order (docs/crossings.md)."""
+"""Tests of races between two events, on real sockets and in a forced order (docs/crossings.md)."""
 
 import asyncio
 import gc
@@ -11,7 +11,7 @@
 from test_event_loop_driver import FakeController
 
 from applevale import api
-from applevale.discovery import endpoints as members
+from applevale.discovery import endpoints
 from applevale.dispatch.event_loop_driver import EventLoopDriver
 from applevale.engines import resp
 from applevale.engines.attempt import AttemptFailed, AttemptSpec, AttemptSucceeded, Progress
@@ -33,7 +33,7 @@
 
 
 class GatedConnectLoop(asyncio.SelectorEventLoop):
-    """An event loop that connects sockets only while `may_connect` is set."""
+    """An event loop on which connecting waits until `may_connect` is set."""
 
     def __init__(self):
         super().__init__()
@@ -46,7 +46,7 @@
 
 
 class SilentEngine:
-    """An engine that records commands, replies to none, and reads only while `may_read` is set."""
+    """An engine that records commands and never replies; connections are read once `may_read` is set."""
 
     def __init__(self):
         self.commands = []
@@ -69,12 +69,12 @@
                 self.commands.append(command)
 
     def request_ids(self):
-        """Return the ids of the execute commands that were read."""
+        """Return the request ids of the received execute commands."""
         return [command[1] for command in self.commands if command[0] == resp.CMD_EXECUTE]
 
 
 class OneEngineSetup:
-    """A request handler on a pool of one engine; the decision module decides nothing by itself."""
+    """A request handler with a pool of one engine; the fake controller makes no decisions of its own."""
 
     def __init__(self, engine, drain_grace=0.2):
         self.engine = engine
@@ -86,7 +86,7 @@
 
     def set_engine_state(self, state):
         entry = api.EngineEntry(1, state=state)
-        self.pool.update(members.EndpointUpdate(1, True, (members.Endpoint(entry, self.engine.address),)))
+        self.pool.update(endpoints.EndpointUpdate(1, True, (endpoints.Endpoint(entry, self.engine.address),)))
 
     def start_attempt(
         self, request_id, statement=b"x", timeout=30.0, start_window=30.0, is_client_gone=lambda: False
@@ -105,7 +105,7 @@
         )
 
     def handle(self, class_index, is_client_gone=lambda: False):
-        """Return a task that handles a request of a class."""
+        """Start a task that handles a request of a class, and return it."""
         request = model.Request(
             b"%016x" % class_index,
             class_index,
@@ -117,7 +117,7 @@
         return asyncio.create_task(self.handler.handle(request))
 
     async def handle_with_attempt(self, class_index):
-        """Handle a request; return its task and its context once an attempt has reached the engine."""
+        """Start to handle a request; return its task and context when an attempt has reached the engine."""
         task = self.handle(class_index)
         await wait_until(lambda: self.handler.active)
         (request,) = self.handler.active
@@ -133,7 +133,7 @@
 
 
 def run_steps(steps):
-    """Return the result of `steps` on a setup with one engine."""
+    """Run the coroutine function `steps` with a setup of one engine, and return its result."""
 
     async def main():
         engine = SilentEngine()
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize("attempt_ends_first", [False, True])
 @pytest.mark.parametrize("signal", [context.DeadlineReached, context.DiscoveryStale])
 @pytest.mark.parametrize(
-    "class_index,result,response",
+    "class_index, result, response",
     [
         (0, RESET, model.Rejected(0.0)),
         (0, FULL, model.Rejected(0.0)),
@@ -171,15 +171,15 @@
         (2, SUCCEEDED, model.Completed(b"r")),
     ],
 )
-def test_the_end_of_an_attempt_and_the_final_response_in_one_iteration(
+def test_an_attempt_that_ends_in_the_same_iteration_determines_the_final_response(
     class_index, result, response, signal, attempt_ends_first
 ):
-    """In the order of the inbox, a possibly executed load would be rejected, and a result would be lost."""
+    """The order of the inbox alone would reject a load that was possibly executed, and lose a result."""
 
     async def steps(setup):
         task, request = await setup.handle_with_attempt(class_index)
-        crossing = [lambda: request.inbox.put_nowait(signal()), lambda: request.in_flight.finish(result)]
-        for event in reversed(crossing) if attempt_ends_first else crossing:
+        racing_events = [lambda: request.inbox.put_nowait(signal()), lambda: request.in_flight.finish(result)]
+        for event in reversed(racing_events) if attempt_ends_first else racing_events:
             event()
         return await task
 
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("decision", [api.Reject(1), api.Fail(1)])
-def test_a_success_behind_the_decision_is_the_response(decision):
+def test_a_success_right_after_a_decision_is_still_the_response(decision):
     async def steps(setup):
         task, request = await setup.handle_with_attempt(0)
         request.inbox.put_nowait(decision)
@@ -197,8 +197,8 @@
     assert run_steps(steps) == model.Completed(b"r")
 
 
-@pytest.mark.parametrize("connects,response", [(False, model.Rejected(0.0)), (True, model.Failed())])
-def test_the_final_response_while_an_attempt_is_in_flight(connects, response):
+@pytest.mark.parametrize("connects, response", [(False, model.Rejected(0.0)), (True, model.Failed())])
+def test_the_final_response_depends_on_whether_the_attempt_in_flight_was_sent(connects, response):
     """An attempt that waits for its connection was not executed; one that was sent may have been."""
 
     async def steps(setup):
@@ -222,7 +222,7 @@
     assert run_steps(steps) == (response, [b"%016x" % 1] if connects else [])
 
 
-def test_the_engine_gets_the_time_that_remains_after_a_slow_connect():
+def test_the_time_to_live_at_the_engine_excludes_the_time_to_connect():
     async def steps(setup):
         loop = asyncio.get_running_loop()
         loop.may_connect.clear()
@@ -235,23 +235,23 @@
     assert run_steps(steps) <= 1700
 
 
-@pytest.mark.parametrize("crossing", ["window", "drain", "engine gone", "cancelled", "client gone"])
-def test_a_change_during_a_slow_connect_holds(crossing):
+@pytest.mark.parametrize("change", ["window", "drain", "engine gone", "cancelled", "client gone"])
+def test_an_attempt_that_may_not_be_sent_after_a_slow_connect_is_dropped(change):
     async def steps(setup):
         loop = asyncio.get_running_loop()
         has_hung_up = False
         loop.may_connect.clear()
         attempt = setup.start_attempt(
-            b"1", start_window=0.0 if crossing == "window" else 30.0, is_client_gone=lambda: has_hung_up
+            b"1", start_window=0.0 if change == "window" else 30.0, is_client_gone=lambda: has_hung_up
         )
-        if crossing == "window":
+        if change == "window":
             attempt = setup.start_attempt(b"2", start_window=0.05)
             await asyncio.sleep(0.06)
-        elif crossing == "drain":
+        elif change == "drain":
             setup.set_engine_state(api.State.DRAINING)
-        elif crossing == "engine gone":
+        elif change == "engine gone":
             setup.set_engine_state(api.State.GONE)
-        elif crossing == "client gone":  # and its hang-up is not read yet
+        elif change == "client gone":  # its hang-up is still unread
             has_hung_up = True
         else:
             attempt.cancel(api.Result.TIMEOUT)
@@ -267,7 +267,7 @@
     assert run_steps(steps) == ([b"9"], {api.Result.MOOT})
 
 
-def test_a_retry_begins_within_the_repeat_window_only():
+def test_a_retry_is_not_sent_after_the_repeat_window():
     async def steps(setup):
         task, request = await setup.handle_with_attempt(2)
         request.in_flight.finish(RESET)
@@ -283,12 +283,12 @@
     assert run_steps(steps) == 1
 
 
-def test_a_drain_withdraws_what_waits_behind_a_full_socket():
-    """It could reach the engine up to a second later, which is twice the grace period of a drain."""
+def test_a_drain_withdraws_commands_that_wait_for_a_full_socket_buffer():
+    """They could reach the engine up to a second later, which is twice the grace period of a drain."""
 
     async def steps(setup):
         setup.engine.may_read.clear()
-        # With a price for handshakes there is one connection.
+        # With a price for handshakes, all attempts share one connection.
         setup.pool.limits = ConnectionLimits(32, 15.0, 5.0, handshake_price=1.0, drain_grace=0.2)
         for number in range(30):
             setup.start_attempt(b"%d" % number, b"x" * 800_000)
@@ -312,7 +312,7 @@
     assert duration < 0.5
 
 
-def test_an_ejection_withdraws_what_waits_for_its_connection():
+def test_an_ejection_withdraws_commands_that_wait_for_their_connection():
     async def steps(setup):
         asyncio.get_running_loop().may_connect.clear()
         attempt = setup.start_attempt(b"1")
@@ -340,7 +340,7 @@
 
 
 def test_after_a_stall_sockets_are_read_before_a_batch_decides():
-    """A batch that runs first sends work on for clients whose hang-up is unread."""
+    """Otherwise the batch could send requests for clients whose hang-up is unread."""
 
     async def steps(setup):
         server_socket, client_socket = socket.socketpair()
@@ -356,7 +356,7 @@
         await wait_until(lambda: controller.batches)
         setup.driver.submit(api.Timer(2))
         client_socket.send(b"x")
-        time.sleep(0.15)  # the loop is stalled, and the batch falls due
+        time.sleep(0.15)  # stalls the loop until after the batch is due
         await wait_until(lambda: len(controller.batches) > 1)
         await read_task
         server_socket.close()
@@ -367,7 +367,7 @@
 
 
 def open_client_connection(setup):
-    """Return a connection of the server, and the socket of its client."""
+    """Return a new connection of the server, and the socket of its client."""
     if not hasattr(setup, "rpc_server"):
         setup.rpc_server = RpcServer(
             setup.handler, setup.driver, SETTINGS, ServerLimits(2, 1 << 20), setup.pool.counters
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("unread_data", [b"", b"junk"])
-def test_a_client_is_gone_though_its_hang_up_is_unread(unread_data):
+def test_a_client_that_has_hung_up_counts_as_gone_before_its_hang_up_is_read(unread_data):
     async def steps(setup):
         connection, client_socket = open_client_connection(setup)
         gone_at_first = connection.is_client_gone()
@@ -393,7 +393,7 @@
     assert run_steps(steps) == (False, False, True)
 
 
-def test_invalid_requests_do_not_hide_a_hang_up_while_calls_are_open():
+def test_the_pause_after_invalid_requests_is_short_while_calls_are_open():
     async def steps(setup):
         connection, client_socket = open_client_connection(setup)
         connection.invalid_requests = 40
@@ -409,8 +409,8 @@
     assert busy_backoff <= 0.05
 
 
-def test_a_connection_that_is_accepted_in_the_iteration_of_the_shutdown_is_served():
-    """A cancelled accept that already has the connection would reset the client."""
+def test_a_connection_that_arrives_in_the_loop_iteration_of_the_shutdown_is_served():
+    """If the shutdown cancelled an accept that already has the connection, the client would be reset."""
 
     async def steps(setup):
         loop = asyncio.get_running_loop()
@@ -422,7 +422,7 @@
         setup.rpc_server.start(listener)
         await asyncio.sleep(0)
         client_socket = socket.create_connection(listener.getsockname())
-        # After the iteration that finds the listener readable, and before the task that waits for that.
+        # Runs after the iteration that finds the listener readable, before the task that waits for it.
         loop.call_soon(lambda: loop.call_soon(setup.rpc_server.stop_accepting))
         client_socket.sendall(msgpack.packb([0, 1, "probe", [{}]]))
         client_socket.setblocking(False)
@@ -435,8 +435,8 @@
 
 
 @pytest.mark.parametrize("rest", [b"", msgpack.packb([0, 1, "probe", [{}]])[5:]])
-def test_a_message_that_is_completed_as_its_timeout_expires_is_read(rest, monkeypatch):
-    """After a stall both are due; the rest of the message must not be read and dropped."""
+def test_a_message_whose_rest_arrives_before_its_late_timeout_runs_is_handled(rest, monkeypatch):
+    """After a stall, the timeout and the rest of the message are due together; the rest must not be lost."""
     monkeypatch.setattr(server_connection, "MESSAGE_TIMEOUT_SECONDS", 0.05)
     message = msgpack.packb([0, 1, "probe", [{}]])
 
@@ -457,18 +457,18 @@
     assert run_steps(steps) == ((reply, 0) if rest else (b"", 1))
 
 
-def test_a_connection_with_a_begun_message_is_not_evicted():
+def test_an_idle_connection_with_an_unread_message_is_not_evicted():
     async def steps(setup):
-        begun_connection, begun_client = open_client_connection(setup)
+        receiving_connection, receiving_client = open_client_connection(setup)
         idle_connection, idle_client = open_client_connection(setup)
         await asyncio.sleep(0)
-        for connection in (begun_connection, idle_connection):
+        for connection in (receiving_connection, idle_connection):
             setup.rpc_server.connections.update_idle(connection)
-        begun_client.sendall(b"\x94")
+        receiving_client.sendall(b"\x94")
         new_connection, new_client = open_client_connection(setup)
-        connections = (begun_connection, idle_connection, new_connection)
+        connections = (receiving_connection, idle_connection, new_connection)
         are_open = [connection in setup.rpc_server.connections for connection in connections]
-        for client_socket in (begun_client, idle_client, new_client):
+        for client_socket in (receiving_client, idle_client, new_client):
             client_socket.close()
         return are_open
 
@@ -476,7 +476,7 @@
 
 
 def test_connections_leave_nothing_for_the_garbage_collector():
-    """A reference cycle for each connection exhausts the memory before it is collected."""
+    """With a reference cycle for each connection, memory could run out before the collector runs."""
 
     async def steps(setup):
         connection, client_socket = open_client_connection(setup)
@@ -489,7 +489,7 @@
         try:
             gc.set_debug(gc.DEBUG_SAVEALL)
             client_socket.close()
-            engine_connection.close("it ends")
+            engine_connection.close("closed by the test")
             await wait_until(
                 lambda: not setup.rpc_server.connections and not setup.pool.engines[1].connections
             )
@@ -505,16 +505,17 @@
     assert run_steps(steps) == []
 
 
-def test_an_idle_connection_that_the_engine_has_closed_unread_is_not_used():
-    """A command behind the close looks like an executed one: a load that was never sent would fail."""
+def test_an_idle_connection_that_the_engine_has_closed_is_not_used_even_if_the_close_is_unread():
+    """A command written after the close counts as possibly executed, so a load would fail for no reason."""
 
     async def steps(setup):
         setup.start_attempt(b"1")
         await wait_until(setup.engine.request_ids)
-        (former,) = setup.pool.engines[1].connections
-        former.streams.attempts[b"1"].finish(FULL)
-        setup.engine.writers[0].get_extra_info("socket").shutdown(socket.SHUT_RDWR)  # the loop reads nothing
-        former.send_command = None  # nothing may be written there
+        (first_connection,) = setup.pool.engines[1].connections
+        first_connection.streams.attempts[b"1"].finish(FULL)
+        # The event loop does not read the close before the next attempt starts.
+        setup.engine.writers[0].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
+        first_connection.send_command = None  # fails the test if the connection is used
         setup.start_attempt(b"2")
         await wait_until(lambda: b"2" in setup.engine.request_ids())
         return len(setup.engine.writers)
@@ -523,14 +524,14 @@
 
 
 def test_a_connection_with_a_truncated_reply_is_not_used_again():
-    """The rest of it would corrupt the next reply there, and a load that succeeded would fail."""
+    """The rest of the truncated reply would corrupt the next reply, and a successful load would fail."""
 
     async def steps(setup):
         attempt = setup.start_attempt(b"1")
         await wait_until(setup.engine.request_ids)
         setup.engine.writers[0].write(b"*4\r\n$1\r\n1\r\n$3\r\nHI")
-        (former,) = setup.pool.engines[1].connections
-        await wait_until(lambda: former.transport.parser.unparsed)
+        (first_connection,) = setup.pool.engines[1].connections
+        await wait_until(lambda: first_connection.transport.parser.unparsed)
         attempt.cancel(api.Result.CANCELLED)
         await wait_until(lambda: attempt.is_finished)
         setup.start_attempt(b"2")
@@ -540,9 +541,9 @@
     assert run_steps(steps) == 2
 
 
-def test_at_the_exit_a_request_that_waits_for_the_order_of_its_key_is_answered():
+def test_a_shutdown_rejects_requests_that_wait_for_the_order_of_arrivals_to_be_known():
     async def steps(setup):
-        setup.driver.stall_monitor.order_known.clear()  # after a stall the rest is read first
+        setup.driver.stall_monitor.order_known.clear()  # as after a stall
         request = model.Request(b"1", 1, b"x", setup.driver.now(), 30.0, order_key=7)
         task = asyncio.create_task(setup.handler.handle(request))
         await asyncio.sleep(0)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""A drain: when requests are turned away and connections closed, and what it must not cut off."""
+"""Tests of drains: when requests are rejected and connections closed, and that no open request is lost."""
 
 import asyncio
 import signal
@@ -24,7 +24,7 @@
     assert not drain.rejects_requests(1e9)
     assert not drain.may_close(False, False)
     drain.begin(10.0)
-    drain.begin(11.0)  # the same drain: the second call has no effect
+    drain.begin(11.0)  # has no effect, since the drain has begun
     assert drain.is_active
     assert not drain.rejects_requests(9.9)
     assert drain.rejects_requests(10.0)
@@ -39,7 +39,7 @@
 
 
 class FakeRequestHandler:
-    """A request handler that completes each request as soon as `may_complete` is set."""
+    """A request handler that completes each request once `may_complete` is set."""
 
     def __init__(self):
         self.request_received = asyncio.Event()
@@ -47,21 +47,21 @@
         self.may_complete.set()
 
     def reject(self):
-        """Return the response to a request in a drain."""
+        """Return the response to a request that a drain rejects."""
         return Rejected(0.5)
 
     def on_response_delivered(self, request):
         """Do nothing."""
 
     async def handle(self, request):
-        """Complete a request, as soon as that is allowed."""
+        """Complete a request once `may_complete` is set."""
         self.request_received.set()
         await self.may_complete.wait()
         return Completed(b"row")
 
 
 class ServerWithClient:
-    """A server with the connection of one client, on the running event loop."""
+    """A server on the running event loop, with one client connection."""
 
     def __init__(self):
         self.handler = FakeRequestHandler()
@@ -88,7 +88,7 @@
         self.client_socket.send(pack_request(number, "short", fields, b"select 1 from air_1.x"))
 
     async def read_response(self):
-        """Return the next response; None at the end of the connection."""
+        """Return the next response, or None at the end of the connection."""
         while True:
             for message in self._unpacker:
                 _, number, error, result = message
@@ -107,85 +107,87 @@
 
 
 def run_scenario(scenario):
-    """Run a coroutine function on a new server with one client, on the event loop that the program uses."""
+    """Run a coroutine function with a new server and client, on the program's kind of event loop."""
 
     async def run():
-        site = ServerWithClient()
+        setup = ServerWithClient()
         try:
-            await scenario(site)
+            await scenario(setup)
         finally:
-            site.close()
+            setup.close()
 
     uvloop.run(run())
 
 
 def test_a_connection_with_an_unprocessed_request_stays_open_in_a_drain():
-    async def scenario(site):
-        site.send_request(1)
-        assert (await site.read_response()).number == 1
+    async def scenario(setup):
+        setup.send_request(1)
+        assert (await setup.read_response()).number == 1
         loop = asyncio.get_running_loop()
 
         def send_and_drain():
-            # The loop reads the request after this iteration; the drain begins before its task has run.
-            site.send_request(2)
-            loop.call_soon(site.server.drain)
+            # The loop reads the request after this iteration, and the drain begins before its task runs.
+            setup.send_request(2)
+            loop.call_soon(setup.server.drain)
 
         loop.call_soon(send_and_drain)
-        response = await site.read_response()
+        response = await setup.read_response()
         assert response is not None
         assert response.number == 2
         assert response.error is None
-        assert await site.read_response() is None  # nothing else was open
+        assert await setup.read_response() is None  # the drain closed the idle connection
 
     run_scenario(scenario)
 
 
-def test_a_client_that_is_never_idle_is_rejected_and_then_disconnected():
-    async def scenario(site):
-        site.handler.may_complete.clear()
-        site.send_request(1)
-        await site.handler.request_received.wait()
-        site.server.drain()
-        site.server.connections.drain_state.reject_from -= ACCEPT_SECONDS  # as if it had lasted that long
-        site.send_request(2)
-        response = await site.read_response()
+def test_new_requests_of_a_client_that_is_never_idle_are_rejected_and_then_it_is_disconnected():
+    async def scenario(setup):
+        setup.handler.may_complete.clear()
+        setup.send_request(1)
+        await setup.handler.request_received.wait()
+        setup.server.drain()
+        setup.server.connections.drain_state.reject_from -= ACCEPT_SECONDS  # as if ACCEPT_SECONDS had passed
+        setup.send_request(2)
+        response = await setup.read_response()
         assert response.number == 2
         assert response.error == [REJECTED, {"cooldown": "500"}]
-        site.handler.may_complete.set()
-        assert (await site.read_response()).number == 1
-        assert await site.read_response() is None
+        setup.handler.may_complete.set()
+        assert (await setup.read_response()).number == 1
+        assert await setup.read_response() is None
 
     run_scenario(scenario)
 
 
 def test_a_drain_waits_for_the_first_request_of_a_connection_and_closes_it_if_none_comes():
-    async def request_during_drain(site):
-        site.server.drain()
-        assert site.server.connections
-        site.send_request(1)
-        assert (await site.read_response()).number == 1
-        assert await site.read_response() is None
-
-    async def no_request(site):
-        site.server.drain()
-        assert await site.read_response() is None
-        assert not site.counters["unfinished_messages"]  # closed by the drain, not for its silence
+    async def request_during_drain(setup):
+        setup.server.drain()
+        assert setup.server.connections
+        setup.send_request(1)
+        assert (await setup.read_response()).number == 1
+        assert await setup.read_response() is None
+
+    async def no_request(setup):
+        setup.server.drain()
+        assert await setup.read_response() is None
+        assert not setup.counters["unfinished_messages"]  # closed by the drain, not by the message timeout
 
     run_scenario(request_during_drain)
     run_scenario(no_request)
 
 
-def test_a_drain_that_was_ended_closes_no_connection():
-    async def scenario(site):
-        site.send_request(1)
-        await site.read_response()
-        site.server.connections.drain_state.begin(0.0)
-        connection = next(iter(site.server.connections))
-        site.server.connections.update_idle(connection)  # the drain looks at it in the next loop iteration
-        site.server.undrain()
-        site.send_request(2)
-        assert (await site.read_response()).number == 2
-        assert connection in site.server.connections.idle
+def test_a_drain_closes_no_connection_after_it_has_ended():
+    async def scenario(setup):
+        setup.send_request(1)
+        await setup.read_response()
+        setup.server.connections.drain_state.begin(0.0)
+        connection = next(iter(setup.server.connections))
+        setup.server.connections.update_idle(
+            connection
+        )  # the drain would close it in the next loop iteration
+        setup.server.undrain()
+        setup.send_request(2)
+        assert (await setup.read_response()).number == 2
+        assert connection in setup.server.connections.idle
 
     run_scenario(scenario)
 
@@ -199,14 +201,14 @@
     return False
 
 
-def test_an_exit_waits_for_the_rest_of_a_message(tmp_path):
+def test_a_shutdown_waits_for_the_rest_of_a_message(tmp_path):
     instance = Instance(tmp_path)
     try:
         client = RpcClient(instance.address)
         fields = {"ref": "1" * 16, "allow": "2500", "effort": "10", "space": "4"}
         data = pack_request(1, "lookup", fields, b"select * from air_1.x limit 2")
         client.send_bytes(data[:40])
-        assert probe(instance.address)  # so connections that came before it have been accepted
+        assert probe(instance.address)  # so the earlier connection has been accepted as well
         instance.process.send_signal(signal.SIGTERM)
         wait_until(lambda: is_connection_refused(instance.address))
         client.send_bytes(data[40:])
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""Parts of the engine pool without sockets: commands on the wire, liveness, paced connections."""
+"""Tests of the engine pool without sockets: protocol, attempts, liveness checks, paced connecting."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class ManualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock is set by the test."""
+    """An event loop whose clock is advanced by the test."""
 
     def __init__(self):
         super().__init__()
@@ -38,14 +38,14 @@
 
 
 async def advance(loop, seconds):
-    """Let time pass and the timers that are due run: they run in the turn after the next."""
+    """Advance the clock and run the timers that are due, which takes two loop iterations."""
     loop.now += seconds
     await asyncio.sleep(0)
     await asyncio.sleep(0)
 
 
 class FakeConnection:
-    """Records commands; stands in for the pool too."""
+    """An engine connection that records commands; it is its own pool."""
 
     def __init__(self):
         self.is_closed = False
@@ -54,7 +54,7 @@
         self.streams = StreamTable()
         self.pool = self
         self.commands = []
-        self.closed = []
+        self.close_reasons = []
         self.corrupt_count = 0
 
     def ping_interval(self):
@@ -70,7 +70,7 @@
         self.streams.probes[tag] = None
 
     def close(self, reason):
-        self.closed.append(reason)
+        self.close_reasons.append(reason)
 
     def send_command(self, *parts, on_written=None):
         self.commands.append(parts)
@@ -79,7 +79,7 @@
         pass
 
 
-def test_commands_keep_their_bytes_on_the_wire():
+def test_commands_have_their_names_on_the_wire():
     commands = (
         resp.CMD_EXECUTE,
         resp.CMD_CANCEL,
@@ -102,11 +102,11 @@
         (("load", 2.0, 0, ""), b"lane=load,ttl=2000,urgency=0"),
     ],
 )
-def test_the_fields_of_an_execute_command_name_what_differs_from_the_default(arguments, fields):
+def test_an_execute_command_has_no_fields_for_default_values(arguments, fields):
     assert resp.encode_execute_fields(*arguments) == fields
 
 
-def test_a_result_of_several_pages_is_fetched_at_once_and_assembled_in_order():
+def test_all_pages_of_a_result_are_requested_at_once_and_joined_in_order():
     results = []
     running = attempt.Attempt(attempt.AttemptSpec(b"7", "read", b"", 1.0, 1.0), results.append)
     running.connection = FakeConnection()
@@ -121,7 +121,7 @@
     assert results == [expected]
 
 
-def test_a_result_beyond_the_bound_is_released_and_fails():
+def test_a_result_above_the_size_limit_is_released():
     results = []
     running = attempt.Attempt(attempt.AttemptSpec(b"7", "read", b"", 1.0, 1.0), results.append)
     running.connection = FakeConnection()
@@ -139,20 +139,20 @@
     assert results == []
 
 
-def test_a_silent_connection_is_pinged_and_closed_without_a_reply():
+def test_a_silent_connection_is_pinged_and_closed_if_no_reply_comes():
     async def test(loop):
         connection = FakeConnection()
         monitor = LivenessMonitor(connection)
         monitor.start()
         await advance(loop, 3.0)
-        assert list(connection.streams.probes) == [b"p1"] and not connection.closed
+        assert list(connection.streams.probes) == [b"p1"] and not connection.close_reasons
         await advance(loop, 0.4)
-        assert connection.closed == ["no reply to a ping"] and connection.corrupt_count == 1
+        assert connection.close_reasons == ["no reply to a ping"] and connection.corrupt_count == 1
 
     run(test)
 
 
-def test_a_connection_that_replies_is_not_closed_and_pinged_only_after_silence():
+def test_a_ping_is_sent_only_after_silence_and_its_reply_keeps_the_connection_open():
     async def test(loop):
         connection = FakeConnection()
         monitor = LivenessMonitor(connection)
@@ -166,12 +166,12 @@
         connection.streams.probes.clear()
         monitor.last_active_at = loop.now
         await advance(loop, 0.4)
-        assert not connection.closed and not connection.streams.probes
+        assert not connection.close_reasons and not connection.streams.probes
 
     run(test)
 
 
-def test_a_stalled_loop_proves_nothing_about_a_connection():
+def test_a_stall_of_the_event_loop_does_not_count_as_silence_of_a_connection():
     async def test(loop):
         connection = FakeConnection()
         monitor = LivenessMonitor(connection)
@@ -179,12 +179,12 @@
         await advance(loop, 3.0 + 2 * MAX_TIMER_LATENESS_SECONDS)
         assert not connection.streams.probes
         await advance(loop, 0.4)
-        assert list(connection.streams.probes) == [b"p1"] and not connection.closed
+        assert list(connection.streams.probes) == [b"p1"] and not connection.close_reasons
 
     run(test)
 
 
-def test_a_stopped_monitor_does_nothing_and_starts_anew():
+def test_a_stopped_monitor_sends_no_pings_and_can_be_started_again():
     async def test(loop):
         connection = FakeConnection()
         monitor = LivenessMonitor(connection)
@@ -200,7 +200,7 @@
 
 
 class PacedEngine:
-    """A pool with one engine whose connections are paced, and the updates that the policy gets."""
+    """A pool with one engine, a connect pacer, and the updates that the admission controller gets."""
 
     def __init__(self, loop):
         self.schedule = ConnectSchedule(20.0, 40, 3)
@@ -221,11 +221,11 @@
         self.pool.update(self.update)
         self.pacer.on_list_change(self.pool.listed_engines(), self.pool.connected_engines())
 
-    def shown_states(self):
+    def submitted_states(self):
         return [update.entries[0].state for update in self.submitted]
 
 
-def test_an_engine_is_shown_as_not_ready_until_a_connection_to_it_may_be_opened():
+def test_an_engine_is_presented_as_not_ready_until_a_connection_to_it_may_be_opened():
     async def test(loop):
         paced = PacedEngine(loop)
         wait = paced.schedule.slot_offset(1)
@@ -235,13 +235,13 @@
         await advance(loop, wait / 2)
         assert not paced.submitted and not paced.changed_at
         await advance(loop, wait / 2)
-        assert paced.shown_states() == [api.State.READY]
+        assert paced.submitted_states() == [api.State.READY]
         assert paced.changed_at == [loop.now] and paced.pool.connect_policy.may_connect(1)
 
     run(test)
 
 
-def test_an_engine_whose_last_connection_ended_waits_for_its_next_slot():
+def test_an_engine_whose_last_connection_has_ended_waits_for_its_next_slot():
     async def test(loop):
         paced = PacedEngine(loop)
         paced.list_engine()
@@ -250,8 +250,10 @@
         paced.pool.connect_policy.record_connect(1)
         paced.submitted.clear()
         paced.pool.connect_policy.record_disconnect(1)
-        assert paced.shown_states() == [api.State.DRAINING] and not paced.pool.connect_policy.may_connect(1)
+        assert paced.submitted_states() == [api.State.DRAINING] and not paced.pool.connect_policy.may_connect(
+            1
+        )
         await advance(loop, paced.schedule.allowed_from[1] - loop.now)
-        assert paced.shown_states() == [api.State.DRAINING, api.State.READY]
+        assert paced.submitted_states() == [api.State.DRAINING, api.State.READY]
 
     run(test)
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -1,4 +1,4 @@
-"""The event loop driver, and how attempts end, without sockets."""
+"""Tests of the event loop driver and of the ends of attempts, without sockets."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class FakeController:
-    """An admission controller that records batches, and returns prepared actions or raises an error."""
+    """An admission controller that records batches; for each it returns given actions or raises an error."""
 
     def __init__(self, *results):
         self.batches = []
@@ -37,7 +37,7 @@
 
 
 def run_driver(controller, steps):
-    """Run `steps` with a driver, and return the driver."""
+    """Run the coroutine function `steps` with a new driver, and return the driver."""
 
     async def main():
         driver = EventLoopDriver(controller, EnginePool(None, (), 0, Counters()), Counters())
@@ -47,7 +47,7 @@
     return asyncio.run(main())
 
 
-def test_list_updates_in_one_batch_are_merged_into_one():
+def test_the_list_updates_in_one_batch_are_merged():
     controller = FakeController()
     ready, draining = api.EngineEntry(1), api.EngineEntry(1, state=api.State.DRAINING)
     other = api.EngineEntry(2, state=api.State.GONE)
@@ -63,7 +63,7 @@
     assert controller.batches == [[api.EngineList((draining, other), whole=True), api.Timer(3)]]
 
 
-def test_an_ejected_engine_is_reported_as_outlier_until_its_ejection_is_over():
+def test_an_engine_is_reported_as_outlier_until_its_ejection_ends():
     now = [100.0]
     controller = AdmissionController(make_settings(), 1)
     entries = tuple(api.EngineEntry(number) for number in range(1, 5))
@@ -75,7 +75,7 @@
     assert driver.outlier_engines() == set()
 
 
-def test_one_loop_iteration_is_one_batch_and_a_timer_comes_in_a_later_one():
+def test_events_of_one_loop_iteration_form_a_batch_and_a_timer_fires_in_a_later_one():
     controller = FakeController([api.SetTimer(0.0, 7)])
 
     async def steps(driver):
@@ -87,7 +87,7 @@
     assert controller.batches == [[api.ClientGone(1), api.ClientGone(2)], [api.Timer(7)]]
 
 
-def test_an_error_of_the_controller_stops_nothing():
+def test_the_driver_continues_after_an_error_of_the_controller():
     controller = FakeController(ValueError("x"))
 
     async def steps(driver):
@@ -117,8 +117,8 @@
     assert event.engine == 3 and event.result is api.Result.CONNECT_FAILED
 
 
-def test_without_a_decision_the_client_still_gets_a_response():
-    """A controller that decides nothing must not cost the client its one response."""
+def test_a_request_without_a_decision_is_rejected_before_its_timeout():
+    """Every request gets a response, even if the controller decides nothing."""
 
     async def main():
         settings = api.Settings(classes=(api.ClassSpec("lookup"),), kinds=(api.KindSpec("k"),))
@@ -153,7 +153,7 @@
 
 
 def attempt_on_connection(write_started):
-    """Return an attempt, and the list to which its result is added."""
+    """Return an attempt on a fake connection, and the list to which its result is appended."""
     results = []
     attempt = Attempt(AttemptSpec(b"1", "load", b"", 1.0, 1.0), results.append)
     attempt.connection = FakeConnection()
@@ -162,7 +162,7 @@
 
 
 def test_a_cancelled_attempt_ends_only_after_the_cancel_command_was_written():
-    """Else the next execute command, on another connection, could arrive first: a second copy."""
+    """Otherwise the next execute command, on another connection, could overtake the cancel command."""
 
     async def main():
         attempt, results = attempt_on_connection(write_started=True)
@@ -179,16 +179,15 @@
     assert asyncio.run(main()) == [failed]
 
 
-def test_an_attempt_that_was_never_written_was_never_executed():
+def test_an_attempt_whose_write_has_not_started_was_not_executed():
     attempt, results = attempt_on_connection(write_started=False)
     assert attempt.result_after_disconnect().result in api.NEVER_RAN
     attempt.cancel(api.Result.CANCELLED)
-    assert (
-        results == [AttemptFailed(Progress.NOT_SENT, api.Result.MOOT)] and attempt.connection.commands == []
-    )
+    assert results == [AttemptFailed(Progress.NOT_SENT, api.Result.MOOT)]
+    assert attempt.connection.commands == []
 
 
-def test_an_attempt_whose_engine_dies_between_pages_was_executed():
+def test_an_attempt_whose_connection_ends_between_pages_was_executed():
     attempt, _ = attempt_on_connection(write_started=True)
     assert attempt.result_after_disconnect() == AttemptFailed(Progress.POSSIBLY_EXECUTED, api.Result.RESET)
     attempt.page_count = 2
@@ -196,7 +195,7 @@
 
 
 def test_a_request_without_time_left_is_rejected_without_waiting_for_a_batch():
-    """A retry may come with a few milliseconds left; its response must not wait for a busy controller."""
+    """A retry may have only a few milliseconds left. Its response must not wait for a busy controller."""
 
     async def main():
         settings = api.Settings((api.ClassSpec("lookup"),), (api.KindSpec("k"),), retry_after=True)
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -1,4 +1,4 @@
-"""A list of a thousand engines and its updates: no lost request, and bounded work for each request."""
+"""Tests of a list of a thousand engines: no request is lost, and the work for each request is bounded."""
 
 import pytest
 from policy_driver import PolicyDriver, actions_of
@@ -14,14 +14,14 @@
 READY, GONE = api.State.READY, api.State.GONE
 
 
-def driver_with_engines(count=1000, **more):
+def driver_with_engines(count=1000, **settings):
     return PolicyDriver(
         entries=tuple(api.EngineEntry(engine) for engine in range(1, count + 1)),
         gateways=40,
         probe_price=0.08,
         may_probe=True,
         report_columns=("active",),
-        **more,
+        **settings,
     )
 
 
@@ -30,19 +30,19 @@
     for count in (8, 60, 1000):
         driver = driver_with_engines(count)
         calls = [0]
-        load = LoadEstimator.engine_load
+        engine_load = LoadEstimator.engine_load
 
-        def counted(self, engine, calls=calls, load=load):
+        def counting_engine_load(self, engine, calls=calls, engine_load=engine_load):
             calls[0] += 1
-            return load(self, engine)
+            return engine_load(self, engine)
 
-        monkeypatch.setattr(LoadEstimator, "engine_load", counted)
+        monkeypatch.setattr(LoadEstimator, "engine_load", counting_engine_load)
         sends = [
             send
             for group in range(20)
             for send in actions_of(api.Send, driver.submit(0, tables=float(group))[1])
         ]
-        monkeypatch.setattr(LoadEstimator, "engine_load", load)
+        monkeypatch.setattr(LoadEstimator, "engine_load", engine_load)
         assert len(sends) == 20
         load_calls[count] = calls[0]
     assert load_calls[1000] <= 2 * load_calls[8]
@@ -62,35 +62,33 @@
     assert not driver.controller.attempts.pending and len(driver.controller.engines) == 1000
 
 
-def test_an_engine_that_is_listed_again_starts_cold_and_without_history():
+def test_an_engine_that_is_listed_again_is_cold_and_has_no_load_history():
     driver = driver_with_engines(3)
     driver.handle(api.PeerLoadReport(1, (40.0,), 8))
     assert driver.controller.load.engine_load(driver.controller.engines[1]) > 2
     driver.now += 5.0
     driver.handle(api.EngineList((api.EngineEntry(1, state=GONE),)))
-    driver.handle(api.PeerLoadReport(1, (40.0,), 8))  # from a peer with an older list
+    driver.handle(api.PeerLoadReport(1, (40.0,), 8))  # from a peer that still has the older list
     assert 1 not in driver.controller.engines
     driver.handle(api.EngineList((api.EngineEntry(1, started=driver.now - 0.5),)))
     driver.controller.load.start_batch()
-    assert (
-        driver.controller.load.engine_load(driver.controller.engines[1]) < 2
-        and driver.controller.engines[1].warmth(driver.now) < 0.5
-    )
+    assert driver.controller.load.engine_load(driver.controller.engines[1]) < 2
+    assert driver.controller.engines[1].warmth(driver.now) < 0.5
 
 
 def test_an_update_that_is_repeated_or_out_of_order_changes_nothing():
     updates = []
     feed = ControlFeed(0, AttributeNames(("z",), ("k",)), Counters(), updates.append)
     first = EndpointUpdate(1, True, (Endpoint(api.EngineEntry(1), ("127.0.0.1", 1)),))
-    late = EndpointUpdate(3, False, (Endpoint(api.EngineEntry(2), ("127.0.0.1", 2)),))
+    after_gap = EndpointUpdate(3, False, (Endpoint(api.EngineEntry(2), ("127.0.0.1", 2)),))
     feed.apply(first)
     feed.apply(first)
     with pytest.raises(FeedError, match="event 3 came after 1"):
-        feed.apply(late)
+        feed.apply(after_gap)
     assert updates == [first] and feed.last_number == 1
 
 
-def test_an_engine_at_the_address_of_a_former_one_replaces_it():
+def test_an_engine_at_the_address_of_an_earlier_one_replaces_it():
     pool = EnginePool(None, (), 8, Counters())
     pool.update(
         EndpointUpdate(1, True, tuple(Endpoint(api.EngineEntry(n), ("127.0.0.1", n)) for n in (1, 2)))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Starts the program and speaks to it over sockets, with the toy engine of the examples behind it."""
+"""Tests of the program over sockets, with the toy engine from `examples/`."""
 
 import signal
 import socket
@@ -20,12 +20,12 @@
 )
 from toy_engine import rows
 
-TIME_BETWEEN_REQUESTS_OF_ONE_KEY = 0.07  # seconds, as clients leave
+ORDERED_REQUEST_SPACING_SECONDS = 0.07  # between requests with the same order key, as clients send them
 
 
 @pytest.fixture(scope="module")
 def instance(tmp_path_factory):
-    """Return an instance with the example configuration, which the tests of this file share."""
+    """Return an instance with the example configuration; the tests of this file share it."""
     instance = Instance(tmp_path_factory.mktemp("instance"))
     yield instance
     instance.stop()
@@ -33,14 +33,14 @@
 
 @settings(max_examples=20)
 @given(st.lists(st.integers(0, 200), max_size=6), st.integers(0, 1500))
-def test_a_result_is_complete_wherever_the_request_is_cut(instance, cuts, row_count):
+def test_a_result_is_complete_however_the_request_is_split_into_packets(instance, cuts, row_count):
     client = RpcClient(instance.address)
     statement = f"select * from air_17.x limit {row_count}"
     client.send_request(1, "lookup", f"{row_count:016x}", statement, cuts)
     assert client.read_response() == Response(1, None, [b"".join(rows(row_count)), {}])
 
 
-def test_many_requests_share_one_connection_and_each_gets_its_own_result(instance):
+def test_concurrent_requests_on_one_connection_each_get_their_own_result(instance):
     client = RpcClient(instance.address)
     for number in range(1, 31):
         statement = f"select * from air_3.x limit {number * 20}"
@@ -49,7 +49,7 @@
     assert results == {number: b"".join(rows(number * 20)) for number in range(1, 31)}
 
 
-def test_a_probe_is_accepted_and_unknown_classes_and_invalid_fields_fail(instance):
+def test_a_probe_succeeds_and_requests_with_an_unknown_class_or_invalid_fields_fail(instance):
     client = RpcClient(instance.address)
     client.send_probe(1)
     assert client.read_response() == Response(1, None, PROBE_ACCEPTED)
@@ -62,7 +62,7 @@
 
 @settings(max_examples=40)
 @given(st.binary(min_size=1, max_size=60))
-def test_invalid_bytes_end_only_their_own_connection(instance, data):
+def test_invalid_bytes_close_only_the_connection_that_they_arrive_on(instance, data):
     invalid_client = RpcClient(instance.address)
     invalid_client.send_bytes(data)
     invalid_client.socket.shutdown(socket.SHUT_WR)
@@ -76,21 +76,21 @@
     assert valid_client.read_response() == Response(1, None, PROBE_ACCEPTED)
 
 
-def test_a_load_that_may_have_been_executed_fails_and_is_not_sent_again(instance):
+def test_a_load_that_was_possibly_executed_fails_and_is_not_sent_again(instance):
     client = RpcClient(instance.address)
     client.send_request(1, "load", "d" * 16, "insert into air_2.x -- die")
     assert client.read_response() == Response(1, FAILED, None)
     assert instance.engine_commands("d" * 16) == [EXECUTE]
 
 
-def test_loads_of_one_key_are_executed_in_order(instance):
+def test_loads_with_the_same_order_key_are_executed_in_order(instance):
     first_client = RpcClient(instance.address)
     second_client = RpcClient(instance.address)
     first_id = "e" * 15 + "1"
     second_id = "e" * 15 + "2"
     first_client.send_request(1, "load", first_id, "insert hang into air_2.x", allow="700", lookup="e")
     wait_until(lambda: instance.engine_commands(first_id))
-    # After an interruption of the event loop what cannot be put in order is rejected, and sent again here.
+    # After a stall of the event loop, a request whose order is unknown is rejected, so it is sent again here.
     for number in range(1, 50):
         second_client.send_request(number, "load", second_id, "insert into air_2.x", lookup="e")
         second_response = second_client.read_response()
@@ -103,8 +103,8 @@
     assert commands == [(EXECUTE, ids[0]), (CANCEL, ids[0]), (EXECUTE, ids[1])]
 
 
-def test_requests_of_one_key_are_sent_in_order_or_rejected_after_the_process_was_suspended(instance):
-    """The connection of the later request is read before that of the earlier one."""
+def test_after_a_suspension_requests_with_the_same_order_key_are_sent_in_order_or_rejected(instance):
+    """The process reads the connection of the later request before that of the earlier one."""
     early_client = RpcClient(instance.address)
     late_client = RpcClient(instance.address)
     early_id = "b" * 15 + "1"
@@ -114,11 +114,11 @@
         assert client.read_response().error is None
     sent_before = len(instance.executed_request_ids())
     instance.process.suspend()
-    # With something to read since before the early request came, this connection is read first.
+    # This connection has data to read before the early request arrives, so it is read first.
     late_client.send_request(2, "lookup", "b" * 15 + "0", "select * from air_4.x")
-    time.sleep(TIME_BETWEEN_REQUESTS_OF_ONE_KEY)
+    time.sleep(ORDERED_REQUEST_SPACING_SECONDS)
     early_client.send_request(2, "load", early_id, "insert into air_4.x", lookup="44")
-    time.sleep(TIME_BETWEEN_REQUESTS_OF_ONE_KEY)
+    time.sleep(ORDERED_REQUEST_SPACING_SECONDS)
     late_client.send_request(3, "load", late_id, "insert into air_4.x", lookup="44")
     instance.process.resume()
     early_response = early_client.read_response()
@@ -132,7 +132,9 @@
 
 
 @pytest.mark.parametrize("disconnects", [False, True])
-def test_a_cancelled_request_is_cancelled_at_the_engine_and_not_answered(instance, disconnects):
+def test_a_request_that_its_client_cancels_is_cancelled_at_the_engine_and_gets_no_response(
+    instance, disconnects
+):
     request_id = f"{'f' * 15}{disconnects:x}"
     client = RpcClient(instance.address)
     client.send_request(1, "lookup", request_id, "select hang from air_2.x")
@@ -147,7 +149,7 @@
         assert client.read_response().number == 2
 
 
-def test_a_request_is_rejected_with_retry_after_if_the_engine_never_replies(instance):
+def test_a_request_is_rejected_with_a_retry_delay_if_the_engine_never_replies(instance):
     client = RpcClient(instance.address)
     client.send_request(1, "lookup", "c" * 16, "select hang from air_2.x", allow="300")
     response = client.read_response()
@@ -157,7 +159,7 @@
     assert response.result is None
 
 
-def test_sigterm_ends_the_process_after_its_last_response_and_the_counters_are_logged(tmp_path):
+def test_after_sigterm_the_process_sends_its_last_response_logs_its_counters_and_exits(tmp_path):
     instance = Instance(tmp_path)
     client = RpcClient(instance.address)
     client.send_request(1, "lookup", "a" * 16, "select * from air_2.x")
@@ -176,14 +178,14 @@
     assert counters["answered_refused"] == 1
 
 
-CUT_CONFIG = EXAMPLE_CONFIG[:40]
+TRUNCATED_CONFIG = EXAMPLE_CONFIG[:40]
 CONFIG_WITHOUT_SETTINGS = EXAMPLE_CONFIG.replace('"settings"', '"other"', 1)
 
 
 @pytest.mark.parametrize(
-    "config_text, key", [(CUT_CONFIG, "BALANCER_CONFIG"), (CONFIG_WITHOUT_SETTINGS, "classes.count")]
+    "config_text, key", [(TRUNCATED_CONFIG, "BALANCER_CONFIG"), (CONFIG_WITHOUT_SETTINGS, "classes.count")]
 )
-def test_an_invalid_configuration_is_one_log_line_and_exit_code_2(tmp_path, config_text, key):
+def test_an_invalid_configuration_is_reported_in_one_log_line_with_exit_code_2(tmp_path, config_text, key):
     config_path = tmp_path / "config.json"
     config_path.write_text(config_text)
     process = ProgramProcess(config_path)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Each parser, with valid messages split at random and with random garbage."""
+"""Tests of all parsers, with valid messages that are split at random and with random bytes."""
 
 import json
 import struct
@@ -15,8 +15,7 @@
 from applevale import api
 from applevale.config.loader import parse_config
 from applevale.config.model import ConfigError
-from applevale.discovery import control_feed, feed_codec
-from applevale.discovery import endpoints as members
+from applevale.discovery import control_feed, endpoints, feed_codec
 from applevale.engines import resp
 from applevale.observability.counters import Counters
 from applevale.requests.model import Completed, Failed, Rejected
@@ -24,13 +23,14 @@
 from applevale.server.request_parser import InvalidRequestError, RequestSchema, parse_request
 from applevale.server.statement import table_group
 
-NAMES = members.AttributeNames(("here",), ("a", "b"))
+NAMES = endpoints.AttributeNames(("here",), ("a", "b"))
 EXAMPLE = json.loads((Path(__file__).parent.parent / "examples" / "config.json").read_text())
 SETTINGS = replace(parse_config(EXAMPLE, {}).settings, tenants=(api.TenantSpec("one"), api.TenantSpec("two")))
 SCHEMA = RequestSchema.from_settings(SETTINGS)
 
 
 def frame(number, kind, *records):
+    """Return a frame of the control feed."""
     body = b"".join(feed_codec.ENGINE_RECORD.pack(*record) for record in records)
     return feed_codec.FRAME_HEADER.pack(9 + len(body), number, kind) + body
 
@@ -40,7 +40,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM))))
-def test_frames_are_the_same_however_the_stream_is_split(cuts):
+def test_the_decoded_frames_do_not_depend_on_how_the_stream_is_split(cuts):
     decoder = feed_codec.FrameDecoder(NAMES)
     bounds = [0, *sorted(cuts), len(STREAM)]
     updates = [update for start, end in pairwise(bounds) for update in decoder.feed(STREAM[start:end])]
@@ -55,7 +55,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_a_corrupt_feed_is_an_error_or_incomplete(data):
+def test_random_bytes_of_a_feed_are_an_error_or_an_incomplete_frame(data):
     decoder = feed_codec.FrameDecoder(NAMES)
     try:
         decoder.feed(data)
@@ -67,18 +67,18 @@
 @pytest.mark.parametrize(
     "invalid", [frame(3, 2, RECORD), frame(2, 0), b"\0\0\0\x08" + bytes(9), b"\xff" * 13]
 )
-def test_a_gap_or_a_bad_frame_breaks_the_connection(invalid):
+def test_a_gap_or_an_invalid_frame_raises_an_error(invalid):
     updates = []
     feed = control_feed.ControlFeed(1, NAMES, Counters(), updates.append)
     with pytest.raises(feed_codec.FeedError):
         for update in feed_codec.FrameDecoder(NAMES).feed(invalid):
             feed.apply(update)
-    feed.apply(members.EndpointUpdate(1, False, ()))
+    feed.apply(endpoints.EndpointUpdate(1, False, ()))
     assert updates == [] and feed.last_number == 1
 
 
 @given(st.text(alphabet="'\"`-/*#\\\n._ a9", max_size=60))
-def test_any_statement_has_a_group_or_none(text):
+def test_the_table_group_of_any_text_is_not_negative(text):
     assert table_group(text.encode()) >= 0
 
 
@@ -92,14 +92,14 @@
         ("select 'it_1.x", 0),
     ],
 )
-def test_only_schemas_determine_the_group(text, group):
+def test_only_schema_names_determine_the_table_group(text, group):
     assert table_group(text.encode()) == group
 
 
 VALUES = st.none() | st.integers() | st.floats() | st.text(max_size=8) | st.binary(max_size=8)
-FIELDS = st.dictionaries(
-    st.sampled_from(["ref", "allow", "effort", "space", "lookup", "dup", "replay", "project"]), VALUES
-)
+FIELD_NAMES = {"ref", "allow", "effort", "space", "lookup", "dup", "replay", "project"}
+OTHER_PARTS_OF_A_CALL = {"method", "params", "statement"}
+FIELDS = st.dictionaries(st.sampled_from(sorted(FIELD_NAMES)), VALUES)
 
 
 @given(st.sampled_from([*SCHEMA.classes, "other"]), st.lists(FIELDS | VALUES, max_size=3))
@@ -107,14 +107,14 @@
     try:
         request = parse_request(SCHEMA, rpc.RequestCall(1, method, params), 1.0)
     except InvalidRequestError as error:
-        assert str(error)
+        assert str(error).partition(": ")[0] in FIELD_NAMES | OTHER_PARTS_OF_A_CALL
         return
     assert 0 <= request.timeout < float("inf")
     assert 0 <= request.order_key < 2**64
     assert 0 <= request.estimated_work < float("inf")
 
 
-def test_a_request_is_parsed_with_its_units():
+def test_the_fields_of_a_request_are_converted_to_its_units():
     fields = {
         "ref": "9b1f03aa5c7e2d41",
         "allow": "1500",
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    "field,value",
+    "field, value",
     [
         ("replay", "a,b=c"),
         ("replay", "a b"),
@@ -148,7 +148,7 @@
         ("project", 1),
     ],
 )
-def test_a_field_that_engines_would_misread_or_an_unknown_project_is_a_named_error(field, value):
+def test_the_error_of_an_invalid_field_names_the_field(field, value):
     fields = {"ref": "9b1f03aa5c7e2d41", "allow": "1500", field: value}
     with pytest.raises(InvalidRequestError, match=field):
         parse_request(SCHEMA, rpc.RequestCall(1, "lookup", [fields, b"select 1 from air_4.x"]), 9.0)
@@ -164,7 +164,7 @@
         (Failed(), b"\x94\x01\x07\x92\xa5Error\x80\xc0"),
     ],
 )
-def test_each_response_is_encoded_to_its_bytes(response, data):
+def test_the_encoding_of_each_response(response, data):
     assert rpc.encode_response(7, response) == data
 
 
@@ -181,7 +181,7 @@
         (7, None),
     ],
 )
-def test_each_message_is_one_call_or_malformed(message, call):
+def test_a_message_is_parsed_to_a_call_or_is_malformed(message, call):
     if call is not None:
         assert rpc.parse_call(message) == call
         return
@@ -189,11 +189,11 @@
         rpc.parse_call(message)
 
 
-@pytest.mark.parametrize("message_id, last", [(True, 0), (0, 0), (3, 4), (2**32, 0)])
-def test_message_ids_increase_within_32_bits(message_id, last):
-    rpc.check_message_id(last + 1, last)
+@pytest.mark.parametrize("message_id, last_message_id", [(True, 0), (0, 0), (3, 4), (2**32, 0)])
+def test_message_ids_must_increase_and_fit_in_32_bits(message_id, last_message_id):
+    rpc.check_message_id(last_message_id + 1, last_message_id)
     with pytest.raises(rpc.MalformedMessageError):
-        rpc.check_message_id(message_id, last)
+        rpc.check_message_id(message_id, last_message_id)
 
 
 REPLIES = b"".join(
@@ -219,7 +219,7 @@
 
 
 @given(st.integers(0, len(REPLIES) - 1), st.binary(min_size=1, max_size=30))
-def test_a_corrupt_reply_is_an_error_or_incomplete_or_valid(position, noise):
+def test_a_reply_with_inserted_bytes_is_invalid_incomplete_or_an_array_of_four_strings(position, noise):
     data = bytearray(REPLIES[:position] + noise + REPLIES[position:])
     try:
         end = resp.find_reply_end(data)
@@ -231,18 +231,18 @@
 
 
 @given(st.binary(max_size=80))
-def test_engine_fields_never_raise(raw):
+def test_any_fields_of_a_reply_can_be_parsed(raw):
     fields = resp.parse_fields(raw)
     report = resp.parse_load_report(fields, ("active", "cpu"))
     assert len(report) in (0, 2) and all(value >= 0 or value == -1 for value in report)
 
 
-def test_a_column_of_a_report_is_read_by_either_of_its_names():
+def test_a_column_of_a_load_report_is_recognized_by_either_of_its_names():
     fields = resp.parse_fields(b"toil=3,rep=inflight:7;cpu:0.61")
     assert resp.parse_load_report(fields, ("active", "cpu", "x1")) == (7.0, 0.61, -1.0)
 
 
-def test_a_message_with_too_many_items_is_rejected():
+def test_the_msgpack_unpacker_rejects_an_array_with_too_many_items():
     unpacker = msgpack.Unpacker(max_array_len=64)
     unpacker.feed(struct.pack(">BI", 0xDD, 2**32 - 1))
     with pytest.raises(ValueError):
@@ -261,12 +261,12 @@
         ("feed", "1.2.3.4"),
     ],
 )
-def test_a_bad_configuration_names_the_key(path, value):
+def test_the_error_of_an_invalid_configuration_names_the_key(path, value):
     raw = json.loads(json.dumps(EXAMPLE))
-    *parents, last = path.split(".")
-    holder = raw
+    *parents, key = path.split(".")
+    section = raw
     for parent in parents:
-        holder = holder[parent]
-    holder[last] = value
-    with pytest.raises(ConfigError, match=last):
+        section = section[parent]
+    section[key] = value
+    with pytest.raises(ConfigError, match=key):
         parse_config(raw, {})
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""What an instance meets in service: clients that misbehave, new configurations, a planned restart."""
+"""Tests of an instance in operation: misbehaving clients, reloads of the configuration, planned restarts."""
 
 import json
 import os
@@ -31,12 +31,13 @@
 )
 
 OPEN_REQUEST_ID = "1" * 16
-MAX_CLIENTS = 64  # of an instance that may have 128 sockets
+COMPLETE_REQUEST = pack_request(1, "lookup", {"ref": OPEN_REQUEST_ID, "allow": "900"}, b"x" * 300)
+MAX_CLIENTS = 64  # half of the `limits.sockets` of the instance
 
 
 @pytest.fixture
 def instance(tmp_path):
-    """Return an instance that takes MAX_CLIENTS clients."""
+    """Return an instance with at most MAX_CLIENTS client connections."""
     config = json.loads(EXAMPLE_CONFIG)
     config["limits"]["sockets"] = 2 * MAX_CLIENTS
     instance = Instance(tmp_path, json.dumps(config))
@@ -44,7 +45,7 @@
     instance.stop()
 
 
-def test_idle_clients_beyond_the_limit_are_evicted_and_no_new_one_is_turned_away(instance):
+def test_above_the_limit_of_connections_idle_clients_are_evicted_for_new_ones(instance):
     clients = []
     for index in range(150):
         client = RpcClient(instance.address)
@@ -54,22 +55,20 @@
     assert instance.stop()["connections_evicted"] == 150 - MAX_CLIENTS
 
 
-def test_clients_that_never_send_are_disconnected_and_others_are_served(instance):
+def test_clients_that_send_nothing_are_disconnected_and_others_are_served(instance):
     silent_clients = [RpcClient(instance.address) for _ in range(150)]
     client = RpcClient(instance.address)
     client.send_request(1, "lookup", OPEN_REQUEST_ID, "select * from air_1.x limit 1")
     assert client.read_response().error is None
     assert all(silent_client.read_response() is None for silent_client in silent_clients)
-    client.send_probe(2)  # a client that has sent a request may stay silent
+    client.send_probe(2)  # a client that has sent a request is not disconnected
     assert client.read_response().number == 2
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        pack_request(1, "lookup", {"ref": OPEN_REQUEST_ID, "allow": "900"}, b"x" * 300)[
-            :-9
-        ],  # never complete
+        COMPLETE_REQUEST[:-9],
         b"\xc6" + struct.pack(">I", 60_000_000) + b"x" * 100_000,
         b"\x9f" * 2000,
         pack_request(-1, "lookup", {}, b"x"),
@@ -80,7 +79,7 @@
         ),
     ],
 )
-def test_messages_that_break_the_protocol_are_never_executed(instance, data):
+def test_messages_that_violate_the_protocol_are_never_executed(instance, data):
     client = RpcClient(instance.address)
     responses = []
     try:
@@ -110,7 +109,7 @@
         {"statement": " "},
     ],
 )
-def test_a_request_that_engines_cannot_use_fails_before_it_reaches_one(instance, change):
+def test_an_invalid_request_fails_and_is_not_sent_to_an_engine(instance, change):
     valid_client = RpcClient(instance.address)
     valid_client.send_request(1, "lookup", OPEN_REQUEST_ID, "select hang from air_1.x")
     wait_until(lambda: instance.engine_commands(OPEN_REQUEST_ID))
@@ -123,8 +122,8 @@
     assert instance.executed_request_ids() == [OPEN_REQUEST_ID.encode()]
 
 
-def test_requests_that_are_cancelled_at_once_leave_nothing_behind(instance):
-    """A task that is cancelled before its first step runs no `finally`."""
+def test_requests_that_are_cancelled_at_once_leave_no_state_behind(instance):
+    """A task that is cancelled before its first step does not run its `finally` clauses."""
     client = RpcClient(instance.address)
     data = b""
     for number in range(1, 21):
@@ -134,13 +133,14 @@
     client.send_bytes(data)
     client.send_probe(21)
     assert client.read_response().number == 21
-    client.send_request(22, "lookup", f"{1:016x}", "select * from air_1.x limit 1")  # the id is free again
+    first_request_id = f"{1:016x}"  # can be used again
+    client.send_request(22, "lookup", first_request_id, "select * from air_1.x limit 1")
     assert client.read_response().error is None
     assert instance.stop()["clients_gone"] == 20
     assert instance.process.wait() == 0
 
 
-def test_idle_silent_and_slow_clients_do_not_delay_the_exit(instance):
+def test_idle_silent_and_slow_clients_do_not_delay_a_shutdown(instance):
     idle_client = RpcClient(instance.address)
     silent_client = RpcClient(instance.address)
     slow_client = RpcClient(instance.address)
@@ -155,8 +155,8 @@
     assert instance.process.wait() == 0
 
 
-def test_open_requests_are_answered_before_a_planned_restart_kills_the_process(instance):
-    """The longest timeout of a request is 25 s here, but SIGKILL comes 3.7 s after SIGTERM."""
+def test_open_requests_get_responses_before_a_planned_restart_kills_the_process(instance):
+    """A request may have a timeout of 25 s here, but SIGKILL comes 3.7 s after SIGTERM."""
     client = RpcClient(instance.address)
     client.send_request(1, "load", OPEN_REQUEST_ID, "insert hang into air_1.x", allow="25000", lookup="1")
     client.send_request(2, "lookup", "2" * 16, "select hang from air_1.x", allow="5000")
@@ -169,7 +169,7 @@
 
 @dataclass(frozen=True)
 class Subscription:
-    """A connection of the program to a control feed, and the number of the change it asked to begin from."""
+    """A connection of the program to a control feed, and the number of the first change that it asked for."""
 
     first_change: int
     connection: socket.socket
@@ -192,11 +192,11 @@
 
 
 def wait_for_reload_message(process):
-    """Return the text of the next log line, on a reload; only lines on lateness may come before it."""
+    """Return the text of the next log line about a reload; only lateness lines may precede it."""
     return process.wait_for_log_line(r"^reload: (.*)", skipped=LATENESS_LINE)[1]
 
 
-def test_a_reload_moves_the_feed_ignores_invalid_configurations_and_drops_no_request(tmp_path):
+def test_a_reload_switches_the_feed_rejects_invalid_configurations_and_keeps_open_requests(tmp_path):
     old_feed = FakeControlFeed()
     new_feed = FakeControlFeed()
     config = json.loads(EXAMPLE_CONFIG) | {"feed": old_feed.address}
@@ -222,8 +222,8 @@
     assert instance.process.wait() == 0
 
 
-def test_signals_before_the_event_loop_runs_do_not_end_the_process_and_a_reload_is_made_later(tmp_path):
-    """The configuration is a pipe, so that the process is known to be reading it when the signals come."""
+def test_signals_before_the_event_loop_runs_do_not_end_the_process_and_a_reload_follows(tmp_path):
+    """The configuration file is a pipe, so that the test knows when the process is reading it."""
     old_feed = FakeControlFeed()
     new_feed = FakeControlFeed()
     config = json.loads(EXAMPLE_CONFIG)
@@ -231,7 +231,7 @@
     os.mkfifo(config_path)
     process = ProgramProcess(config_path)
     try:
-        with open(config_path, "w") as first_config:  # returns when the process has opened the other end
+        with open(config_path, "w") as first_config:  # returns when the process has opened the pipe
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGUSR1)
             second_path = tmp_path / "second.json"
@@ -251,8 +251,8 @@
 @pytest.mark.parametrize(
     "change", [{"name": "another"}, {"zones": ["quay", "here"]}, {"kinds": ["x", "toy"]}]
 )
-def test_a_reload_of_another_instances_configuration_changes_nothing(tmp_path, change):
-    """Known engines and the new list refer to zones and kinds by their positions in the settings."""
+def test_a_reload_with_the_configuration_of_another_instance_is_rejected(tmp_path, change):
+    """Changed zones or kinds are rejected too, since engines refer to them by position in the settings."""
     old_feed = FakeControlFeed()
     new_feed = FakeControlFeed()
     config = json.loads(EXAMPLE_CONFIG) | {"feed": old_feed.address, "name": "n1"}
