--- a/applevale/dispatch/arrival_order.py
+++ b/applevale/dispatch/arrival_order.py
@@ -7,7 +7,7 @@
 
 Invariants:
 
-- All data that arrived at a socket before its `Source.read_up_to` has been read.
+- All data that arrived at a socket before its `ArrivalSource.read_up_to` has been read.
 - Each socket that was waited for at `ArrivalOrder.polled_at` has been polled after that time. A tick runs at
   the start of a loop iteration and the sockets are polled later in the iteration, so `polled_at` is the time
   of the second to last tick.
@@ -17,6 +17,7 @@
 from __future__ import annotations
 
 from math import inf
+from typing import NamedTuple
 
 TICK_SECONDS = 0.01  # interval between ticks
 MIN_REQUEST_SPACING_SECONDS = 0.05  # clients send requests with the same key at least 0.06 s apart
@@ -25,7 +26,7 @@
 KEY_RETENTION_SECONDS = 30.0  # how long the last request of a key is remembered; no stall lasts longer
 
 
-class Source:
+class ArrivalSource:
     """A socket at which requests or connections arrive.
 
     Attributes:
@@ -52,11 +53,18 @@
         return earliest_arrival
 
 
+class LastRequest(NamedTuple):
+    """The last request that was read with an order key."""
+
+    read_at: float
+    source: ArrivalSource
+
+
 class ArrivalOrder:
     """Detects stalls of the event loop, and requests whose order of arrival is unknown after a stall.
 
     Attributes:
-        last_requests: Read time and source of the last request of each key, oldest first.
+        last_requests: The last request with each order key, oldest first.
         polled_at: Time after which each socket that was waited for at that time has been polled.
         ticked_at: Time of the last tick.
         stalled_until: End of the last stall.
@@ -69,7 +77,7 @@
         self.ticked_at = -inf
         self.stalled_until = -inf
         self.is_catching_up = False
-        self.last_requests: dict[int, tuple[float, Source]] = {}
+        self.last_requests: dict[int, LastRequest] = {}
 
     def on_tick(self, now: float) -> bool:
         """Record a tick; return whether the loop has stalled since the previous one."""
@@ -81,7 +89,7 @@
         self.is_catching_up = True
         return True
 
-    def is_caught_up(self, source: Source, readable: bool) -> bool:
+    def is_caught_up(self, source: ArrivalSource, readable: bool) -> bool:
         """Return whether all data that arrived at a source before the end of the last stall has been read."""
         return not readable or source.read_up_to >= self.stalled_until
 
@@ -95,22 +103,22 @@
             self.is_catching_up = False
         return not self.is_catching_up
 
-    def is_in_order(self, key: int, source: Source, earliest_arrival: float, now: float) -> bool:
+    def is_in_order(self, key: int, source: ArrivalSource, earliest_arrival: float, now: float) -> bool:
         """Return whether a request certainly arrived after the previously read request with the same key.
 
         Args:
             key: The order key of the request.
             source: The socket from which it was read.
-            earliest_arrival: The result of `Source.record_read` for the read.
+            earliest_arrival: The result of `ArrivalSource.record_read` for the read.
             now: Time at which it was read.
         """
         self._remove_expired_keys(now)
-        last_read_at, last_source = self.last_requests.pop(key, (-inf, source))
-        self.last_requests[key] = now, source
-        return last_source is source or last_read_at - earliest_arrival < MIN_REQUEST_SPACING_SECONDS
+        last = self.last_requests.pop(key, LastRequest(-inf, source))
+        self.last_requests[key] = LastRequest(now, source)
+        return last.source is source or last.read_at - earliest_arrival < MIN_REQUEST_SPACING_SECONDS
 
     def _remove_expired_keys(self, now: float) -> None:
-        for key, (read_at, _) in list(self.last_requests.items()):
-            if read_at >= now - KEY_RETENTION_SECONDS:
+        for key, last in list(self.last_requests.items()):
+            if last.read_at >= now - KEY_RETENTION_SECONDS:
                 break
             del self.last_requests[key]
--- a/applevale/dispatch/stall_monitor.py
+++ b/applevale/dispatch/stall_monitor.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..observability.counters import Counters
-from .arrival_order import TICK_SECONDS, ArrivalOrder, Source
+from .arrival_order import TICK_SECONDS, ArrivalOrder, ArrivalSource
 from .clock import UnixClock
 
 
@@ -25,7 +25,7 @@
         self.arrival_order = ArrivalOrder()
         self.order_known = asyncio.Event()
         self.order_known.set()
-        self.readable_source_providers: list[Callable[[], list[Source]]] = []
+        self.readable_source_providers: list[Callable[[], list[ArrivalSource]]] = []
         self._clock = clock
         self._counters = counters
         self._timer: asyncio.TimerHandle | None = None
--- a/applevale/server/connection.py
+++ b/applevale/server/connection.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from ..dispatch.arrival_order import Source
+from ..dispatch.arrival_order import ArrivalSource
 from ..dispatch.event_loop_driver import EventLoopDriver
 from ..net.socket_status import SocketStatus
 from ..net.write_queue import WriteQueue
@@ -25,8 +25,8 @@
 # A connection whose client reads nothing for this long is closed. No client waits longer for a response.
 WRITE_STALL_TIMEOUT_SECONDS = 30.0
 
-# Timeout of a message. It starts when a connection is accepted for the first message, and with the first byte
-# for each further one.
+# Time in which a client must complete a message. It begins with the accept of the connection for the first
+# message, and with the first byte for each further one.
 MESSAGE_TIMEOUT_SECONDS = 2.0
 
 # How long a connection stays open after an error, so that the client can read the last responses.
@@ -50,7 +50,7 @@
 
     Attributes:
         sock: The connected socket.
-        source: The socket as a source of ordered requests.
+        arrival_source: The socket as a source of ordered requests.
         write_queue: Responses that wait to be written.
         calls: Calls that have no response yet, by message id.
         incomplete_bytes: Number of received bytes that belong to an incomplete message.
@@ -75,7 +75,7 @@
             counters: Counters of the ways in which connections end.
         """
         self.sock = sock
-        self.source = Source(earliest_arrival)
+        self.arrival_source = ArrivalSource(earliest_arrival)
         self.write_queue = WriteQueue(sock, WRITE_STALL_TIMEOUT_SECONDS, self.stop)
         self.calls: dict[int, OpenCall] = {}
         self.incomplete_bytes = 0
@@ -193,9 +193,9 @@
             MalformedMessageError: The incomplete message exceeds MAX_MESSAGE_BYTES.
         """
         received_at = self._driver.now()
-        is_drained = size < RECEIVE_BUFFER_BYTES
-        self._earliest_arrival = self.source.record_read(
-            read_started_at, self._driver.stall_monitor.arrival_order.polled_at, is_drained
+        is_emptied = size < RECEIVE_BUFFER_BYTES
+        self._earliest_arrival = self.arrival_source.record_read(
+            read_started_at, self._driver.stall_monitor.arrival_order.polled_at, is_emptied
         )
         is_any_complete = False
         for message in self._decoder.decode(size):
--- a/applevale/server/connection_table.py
+++ b/applevale/server/connection_table.py
@@ -17,8 +17,8 @@
     """All connections of a server, with limits on their number and on the bytes buffered for them.
 
     Attributes:
-        silent: Connections on which no message is complete yet, oldest first, with the time of their accept.
-        idle: Connections whose messages all have responses, longest idle first, with the time since when.
+        silent: Accept times of the connections on which no message is complete yet, oldest first.
+        idle: Times at which connections without an open call became idle, longest idle first.
         buffered_bytes: Bytes of messages, statements and responses buffered for all connections.
         drain_state: Whether a drain is in progress, and from when it rejects requests.
     """
@@ -80,8 +80,8 @@
             self.idle[connection] = loop.time()
             self._capacity_changed.set()
             if self.drain_state.is_active:
-                # The response to a call is queued right after the call is released. A later callback closes
-                # the connection, so that it sees that response.
+                # The response to a call is queued right after the call is released, so the check whether to
+                # close the connection is put off until then.
                 loop.call_soon(self._close_if_unused, connection)
 
     async def wait_for_capacity(self) -> None:
@@ -119,7 +119,7 @@
         if self.buffered_bytes > self._max_buffered_bytes and self._tasks:
             slowest = max(self._tasks, key=lambda connection: connection.buffered_bytes)
             self._counters["slow_clients_closed"] += 1
-            slowest.stop(f"closed: it holds the most of over {self._max_buffered_bytes} buffered bytes")
+            slowest.stop(f"buffered bytes exceed {self._max_buffered_bytes}; this connection holds the most")
 
     def release_bytes(self, size: int) -> None:
         """Subtract bytes that are no longer buffered."""
--- a/applevale/server/listener.py
+++ b/applevale/server/listener.py
@@ -10,7 +10,7 @@
 from .. import api
 from ..admin.draining import ACCEPT_SECONDS
 from ..admin.metrics import Metrics
-from ..dispatch.arrival_order import Source
+from ..dispatch.arrival_order import ArrivalSource
 from ..dispatch.event_loop_driver import EventLoopDriver
 from ..observability.counters import Counters
 from ..observability.events import log_event
@@ -53,7 +53,7 @@
             metrics: Response metrics for operators; None to keep none.
         """
         self.connections = ConnectionTable(limits.max_connections, limits.max_buffered_bytes, counters)
-        self.arrival_source = Source()
+        self.arrival_source = ArrivalSource()
         self._context = ServerContext(
             handler, driver, RequestSchema.from_settings(settings), self.connections, counters, metrics
         )
@@ -157,9 +157,9 @@
             self.accept_connection(sock, self._driver.now(), False)
         listener.close()
 
-    def readable_sources(self) -> list[Source]:
+    def readable_sources(self) -> list[ArrivalSource]:
         """Return the sockets that have something to read, as sources of ordered requests."""
-        sources = {connection.sock.fileno(): connection.source for connection in self.connections}
+        sources = {connection.sock.fileno(): connection.arrival_source for connection in self.connections}
         if self._listener is not None:
             sources[self._listener.fileno()] = self.arrival_source
         sources.pop(-1, None)  # closed sockets
--- a/applevale/server/request_parser.py
+++ b/applevale/server/request_parser.py
@@ -14,8 +14,8 @@
 
 # Largest timeout of a request, as a multiple of its class's deadline.
 MAX_TIMEOUT_FACTOR = 1.1
-# Limits on a client's estimates: far more than any engine provides, yet too little to distort the averages
-# that all requests share.
+# Limits on a client's estimates. They are far beyond the capacity of any engine, yet low enough not to
+# distort the estimates that all requests share.
 MAX_ESTIMATED_WORK_MS = 1e8
 MAX_ESTIMATED_MEMORY_MB = 1e7
 MAX_ORDER_KEY = 2**64 - 1
@@ -36,21 +36,21 @@
     """The classes and tenants that the settings define.
 
     Attributes:
-        specs: The classes in the order of the settings.
-        classes: Index of each class by name.
-        tenants: Index of each tenant by name.
+        class_specs: The classes in the order of the settings.
+        class_indices: Index of each class by name.
+        tenant_indices: Index of each tenant by name.
     """
 
-    specs: tuple[api.ClassSpec, ...]
-    classes: dict[str, int]
-    tenants: dict[str, int]
+    class_specs: tuple[api.ClassSpec, ...]
+    class_indices: dict[str, int]
+    tenant_indices: dict[str, int]
 
     @classmethod
     def from_settings(cls, settings: api.Settings) -> RequestSchema:
         """Return the schema for the classes and tenants of the settings."""
-        classes = {spec.name: index for index, spec in enumerate(settings.classes)}
-        tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        return cls(settings.classes, classes, tenants)
+        class_indices = {spec.name: index for index, spec in enumerate(settings.classes)}
+        tenant_indices = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
+        return cls(settings.classes, class_indices, tenant_indices)
 
 
 def parse_request(
@@ -72,8 +72,8 @@
     """
     class_index = _parse_class(call.method, schema)
     fields, statement = _split_params(call.params)
-    spec = schema.specs[class_index]
-    # The arguments are in the order in which the fields are checked: the first invalid one is reported.
+    spec = schema.class_specs[class_index]
+    # The fields are validated in the order of the arguments, and the first invalid one is reported.
     return Request(
         class_index=class_index,
         request_id=_parse_request_id(fields),
@@ -98,9 +98,9 @@
 
 def _parse_class(method: str, schema: RequestSchema) -> int:
     """Return the index of the class that is named by the method."""
-    if method not in schema.classes:
+    if method not in schema.class_indices:
         raise InvalidRequestError(f"method: {_quote(method)} is not a class of the settings")
-    return schema.classes[method]
+    return schema.class_indices[method]
 
 
 def _split_params(params: list) -> tuple[dict, bytes]:
@@ -156,11 +156,11 @@
 
 def _parse_tenant(fields: dict, schema: RequestSchema) -> int:
     name = fields.get("project")
-    if not schema.tenants or name is None:
+    if not schema.tenant_indices or name is None:
         return 0
-    if not isinstance(name, str) or name not in schema.tenants:
+    if not isinstance(name, str) or name not in schema.tenant_indices:
         raise InvalidRequestError(f"project: {_quote(name)} is not a tenant of the settings")
-    return schema.tenants[name]
+    return schema.tenant_indices[name]
 
 
 def _parse_statement(statement: bytes) -> bytes:
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -116,7 +116,7 @@
             # Engines would take the second request for a repetition of the first.
             raise InvalidRequestError("ref: the id of a request that is still open, a new one expected")
         if request.order_key and not self._driver.stall_monitor.arrival_order.is_in_order(
-            request.order_key, self.source, self._earliest_arrival, received_at
+            request.order_key, self.arrival_source, self._earliest_arrival, received_at
         ):
             self._counters["unsure_order"] += 1
             request = replace(request, order_unknown=True)
--- a/tests/test_arrival_order.py
+++ b/tests/test_arrival_order.py
@@ -8,7 +8,7 @@
     MIN_REQUEST_SPACING_SECONDS,
     TICK_SECONDS,
     ArrivalOrder,
-    Source,
+    ArrivalSource,
 )
 
 
@@ -31,15 +31,15 @@
 def test_the_earliest_arrival_of_data_depends_on_the_wait_and_the_last_poll(
     wait_started_at, emptied, earliest_arrival, read_up_to
 ):
-    source = Source(9.0)
+    source = ArrivalSource(9.0)
     assert source.record_read(wait_started_at, 10.05, emptied) == earliest_arrival
     assert source.read_up_to == read_up_to
 
 
 def test_the_order_of_arrival_is_known_unless_the_loop_has_stalled():
     order = ArrivalOrder()
-    first = Source()
-    second = Source()
+    first = ArrivalSource()
+    second = ArrivalSource()
     now = tick_on_time(order, 100.0, 20)
     for source in (first, second, first):
         earliest_arrival = source.record_read(now - 1.0, order.polled_at, True)
@@ -59,8 +59,8 @@
 
 def test_catching_up_ends_when_each_socket_is_read_or_empty_or_after_a_time_limit():
     order = ArrivalOrder()
-    read = Source()
-    unread = Source()
+    read = ArrivalSource()
+    unread = ArrivalSource()
     now = tick_on_time(order, 100.0, 3)
     assert order.on_tick(now + 1.0)
     now = tick_on_time(order, now + 1.0 + TICK_SECONDS, 2)
@@ -76,7 +76,7 @@
 
 def test_requests_are_not_remembered_beyond_the_retention_time():
     order = ArrivalOrder()
-    source = Source()
+    source = ArrivalSource()
     for key in range(1000):
         order.is_in_order(key, source, 0.0, float(key))
     assert len(order.last_requests) <= KEY_RETENTION_SECONDS + 1
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -102,7 +102,7 @@
 FIELDS = st.dictionaries(st.sampled_from(sorted(FIELD_NAMES)), VALUES)
 
 
-@given(st.sampled_from([*SCHEMA.classes, "other"]), st.lists(FIELDS | VALUES, max_size=3))
+@given(st.sampled_from([*SCHEMA.class_indices, "other"]), st.lists(FIELDS | VALUES, max_size=3))
 def test_any_call_is_a_valid_request_or_an_error_that_names_the_field(method, params):
     try:
         request = parse_request(SCHEMA, rpc.RequestCall(1, method, params), 1.0)
