--- a/applevale/engines/attempt.py
+++ b/applevale/engines/attempt.py
@@ -79,8 +79,8 @@
         deadline: Time at which the attempt is cancelled.
         start_before: Time before which the write of its command must begin.
         priority: Priority on the engine, from 0 to 3.
-        exclusive: Whether it gets a connection of its own, so that no other attempt or probe can break the
-            connection; for requests that must not be executed twice.
+        exclusive: Whether it gets a connection of its own, if one is available, so that no other attempt or
+            probe can break the connection; for requests that must not be executed twice.
         is_client_gone: Returns whether the client has hung up, even if the end of the stream is unread.
         idempotency_key: Engines recognize a repeated request with another id by it; empty for none.
     """
--- a/applevale/engines/engine.py
+++ b/applevale/engines/engine.py
@@ -17,6 +17,9 @@
     """An engine, identified by its id; its address may be reused by another engine later.
 
     Attributes:
+        pool: The pool that holds the engine.
+        engine_id: Id of the engine in the list.
+        address: Its current address.
         state: State of the engine in the list.
         started_at: Start time of the engine's process, as Unix time.
         connections: Connections that have not ended, in the order in which they were opened.
--- a/applevale/engines/liveness.py
+++ b/applevale/engines/liveness.py
@@ -62,7 +62,7 @@
         if not connection.is_connected or now - due > MAX_TIMER_LATENESS_SECONDS:
             self._schedule(PING_TIMEOUT_SECONDS)
         elif self.ping_tag in connection.streams.probes:
-            connection.pool.record_corrupt_response()
+            connection.pool.record_corrupt_reply()
             connection.close("no reply to a ping")
         elif now - self.last_active_at < interval:
             self._schedule(self.last_active_at + interval - now)
--- a/applevale/engines/pool.py
+++ b/applevale/engines/pool.py
@@ -81,7 +81,7 @@
         self._probe_tag_count += 1
         return b"p%d" % self._probe_tag_count
 
-    def record_corrupt_response(self) -> None:
+    def record_corrupt_reply(self) -> None:
         """Record that an engine sent a corrupt reply, or no reply to a ping."""
         self.counters["links_spoilt"] += 1
         self._corrupted_at = asyncio.get_running_loop().time()
--- a/applevale/server/listener.py
+++ b/applevale/server/listener.py
@@ -70,7 +70,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """The reply to probes: whether new clients are accepted."""
+        """The response to probes: whether new clients are accepted."""
         return self._context.is_ready
 
     @is_ready.setter
--- a/applevale/server/rpc.py
+++ b/applevale/server/rpc.py
@@ -141,13 +141,13 @@
     return msgpack.packb([_MessageType.RESPONSE, message_id, error, result])
 
 
-def encode_probe_reply(message_id: int, is_ready: bool) -> bytes:
-    """Return the encoded reply to a probe."""
+def encode_probe_response(message_id: int, is_ready: bool) -> bytes:
+    """Return the encoded response to a probe."""
     return _encode(message_id, None, [is_ready, {}])
 
 
 def encode_response(message_id: int, response: Response) -> bytes:
-    """Return the encoded reply that carries a response."""
+    """Return the encoded message for a response."""
     match response:
         case Completed(rows=rows):
             return _encode(message_id, None, [rows, {}])
@@ -157,9 +157,9 @@
                 advice[_FIELD_RETRY_AFTER] = str(ceil(retry_after * 1000))
             return _encode(message_id, [_ERROR_REJECTED, advice], None)
         case Failed():
-            return encode_error(message_id)
+            return encode_error_response(message_id)
 
 
-def encode_error(message_id: int) -> bytes:
-    """Return the encoded reply to a call that failed or is invalid."""
+def encode_error_response(message_id: int) -> bytes:
+    """Return the encoded error response to a call that failed or is invalid."""
     return _encode(message_id, [_ERROR_FAILED, {}], None)
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -18,8 +18,8 @@
     ProbeCall,
     RequestCall,
     check_message_id,
-    encode_error,
-    encode_probe_reply,
+    encode_error_response,
+    encode_probe_response,
     encode_response,
     parse_call,
 )
@@ -50,7 +50,7 @@
         self._undelivered: set[Request] = set()
 
     def handle_message(self, message: object, received_at: float) -> None:
-        """Start a call, cancel one, or reply to a probe.
+        """Start a call, cancel one, or respond to a probe.
 
         Raises:
             MalformedMessageError: The message violates the protocol.
@@ -60,7 +60,7 @@
             case ProbeCall():
                 self._counters["probed"] += 1
                 self._accept_message_id(call.message_id)
-                self._send(encode_probe_reply(call.message_id, self._context.is_ready))
+                self._send(encode_probe_response(call.message_id, self._context.is_ready))
             case RequestCall():
                 self._accept_message_id(call.message_id)
                 self._start_call(call, received_at)
@@ -86,7 +86,7 @@
         self._release_call(message_id)
 
     def _start_call(self, call: RequestCall, received_at: float) -> None:
-        """Start a task that handles a request, or reply with an error to an invalid one.
+        """Start a task that handles a request, or respond with an error to an invalid one.
 
         Raises:
             MalformedMessageError: More than MAX_OPEN_CALLS calls would be open.
@@ -98,7 +98,7 @@
         try:
             request = self._parse_request(call, received_at)
         except InvalidRequestError as error:
-            self._reply_to_invalid_request(call.message_id, error)
+            self._reject_invalid_request(call.message_id, error)
             return
         message_id = call.message_id
         self._counters["taken_" + call.method] += 1
@@ -122,11 +122,11 @@
             request = replace(request, order_unknown=True)
         return request
 
-    def _reply_to_invalid_request(self, message_id: int, error: InvalidRequestError) -> None:
+    def _reject_invalid_request(self, message_id: int, error: InvalidRequestError) -> None:
         self._counters["bad_requests"] += 1
         self.invalid_requests += 1
         log_event("request", str(error))
-        self._send(encode_error(message_id))
+        self._send(encode_error_response(message_id))
 
     async def _handle_request(self, message_id: int, request: Request) -> None:
         handler = self._context.handler
@@ -164,7 +164,7 @@
         self._send(encode_response(message_id, response), request)
 
     def _send(self, data: bytes, request: Request | None = None) -> None:
-        """Queue an encoded reply; `request` is the request that it responds to, if any."""
+        """Queue an encoded response; `request` is the request that it belongs to, if any."""
         if self.write_queue.closed:
             return
         if request is not None and request.order_key:
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -63,7 +63,7 @@
     def next_probe_tag(self):
         return b"p1"
 
-    def record_corrupt_response(self):
+    def record_corrupt_reply(self):
         self.corrupt_count += 1
 
     def ping(self, tag):
