--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -49,7 +49,7 @@
         pool: The engines.
         settings: The settings of the deployment.
         counters: Counters of outcomes.
-        on_dispatch: Called with the engine and the thread count of each attempt that is announced to peers.
+        on_dispatch: Called with engine and thread count of each attempt that is announced to peers.
         shutdown_deadline: Time at which the process stops, by the driver's clock.
     """
 
--- a/applevale/requests/handler.py
+++ b/applevale/requests/handler.py
@@ -46,7 +46,7 @@
             pool: The engines.
             settings: The settings of the deployment.
             counters: Counters of outcomes.
-            on_dispatch: Called with the engine and the thread count of each attempt that is announced to peers.
+            on_dispatch: Called with engine and thread count of each attempt that is announced to peers.
         """
         self.active: set[RequestContext] = set()
         self._environment = RequestEnvironment(driver, pool, settings, counters, on_dispatch)
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -49,7 +49,8 @@
 
 def test_the_list_updates_in_one_batch_are_merged():
     controller = FakeController()
-    ready, draining = api.EngineEntry(1), api.EngineEntry(1, state=api.State.DRAINING)
+    ready = api.EngineEntry(1)
+    draining = api.EngineEntry(1, state=api.State.DRAINING)
     other = api.EngineEntry(2, state=api.State.GONE)
 
     async def steps(driver):
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -11,7 +11,8 @@
 from applevale.observability.counters import Counters
 from applevale.policy.load_estimation import LoadEstimator
 
-READY, GONE = api.State.READY, api.State.GONE
+READY = api.State.READY
+GONE = api.State.GONE
 
 
 def driver_with_engines(count=1000, **settings):
