--- a/applevale/server/request_parser.py
+++ b/applevale/server/request_parser.py
@@ -92,8 +92,12 @@
 
 
 def _quote(value: object) -> str:
-    """Return the start of a field's value in quotes, for an error message."""
-    return "nothing" if value is None else repr(str(value)[:MAX_QUOTED_CHARACTERS])
+    """Return a field's value for an error message, shortened; for a list or map its type only."""
+    if value is None:
+        return "nothing"
+    if isinstance(value, (list, dict)):  # may be nested too deeply for str()
+        return f"a {type(value).__name__}"
+    return repr(str(value)[:MAX_QUOTED_CHARACTERS])
 
 
 def _parse_class(method: str, schema: RequestSchema) -> int:
