--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -119,7 +119,7 @@
         """Return for how many seconds a message may have been unread, by the lateness of the last batches."""
         return min(MAX_READ_DELAY_SECONDS, self.batch_lateness.decayed(self.clock.latest))
 
-    def delivery_time(self) -> float:
+    def delivery_seconds(self) -> float:
         """Return the seconds from the write of a response until its client has certainly read it.
 
         The client may share a machine with this process or with the engines, and so be as late as this event
--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -27,13 +27,15 @@
         handlers: Handler of each protocol, by the first byte of its datagrams.
     """
 
-    def __init__(self, addresses: PeerAddresses, me: int, counters: Counters, shared: bool = False):
+    def __init__(
+        self, addresses: PeerAddresses, instance_number: int, counters: Counters, shared: bool = False
+    ):
         """Create the socket of an instance and bind it.
 
         Args:
             addresses: The addresses of all instances; the socket is bound to `listen`.
-            me: Number of this instance, an index into `addresses.each`. If it is past the end, the address of
-                this instance is `addresses.listen`.
+            instance_number: Number of this instance, an index into `addresses.each`. If it is past the end,
+                the address of this instance is `addresses.listen`.
             counters: Counters of rejected datagrams.
             shared: Whether a second process of this instance may bind the same address, and then receives
                 all datagrams.
@@ -45,7 +47,8 @@
         self.counters = counters
         self.handlers: dict[int, DatagramHandler] = {}
         # A datagram that this instance sends to all instances may also reach itself.
-        self.own_address = addresses.each[me] if me < len(addresses.each) else addresses.listen
+        is_listed = instance_number < len(addresses.each)
+        self.own_address = addresses.each[instance_number] if is_listed else addresses.listen
         self.peer_numbers = {
             address: number for number, address in enumerate(addresses.each) if address != self.own_address
         }
