--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -46,8 +46,8 @@
         self.addresses = addresses
         self.counters = counters
         self.handlers: dict[int, DatagramHandler] = {}
-        # A datagram that this instance sends to all instances may also reach itself.
         is_listed = instance_number < len(addresses.each)
+        # Datagrams from this address are ignored: one that is sent to all instances also reaches the sender.
         self.own_address = addresses.each[instance_number] if is_listed else addresses.listen
         self.peer_numbers = {
             address: number for number, address in enumerate(addresses.each) if address != self.own_address
