--- a/applevale/engines/limits.py
+++ b/applevale/engines/limits.py
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True)
 class ConnectionLimits:
-    """Limits and costs of connections to engines, as the settings define them.
+    """Limits and prices of connections to engines, as the settings define them.
 
     Attributes:
         max_attempts: Maximum number of concurrent attempts on one connection.
         idle_timeout: Seconds after which an engine closes an idle connection.
         connect_timeout: Timeout of connecting, in seconds.
-        handshake_price: Cost of one new connection per request, in points of the performance score.
-        probe_price: Cost of one probe per request, in points of the performance score.
+        handshake_price: Points that one new connection per request costs (setting `prices.handshake`).
+        probe_price: Points that one probe per request costs (setting `prices.probe`).
         drain_grace: Seconds after the start of a drain in which commands may still reach the engine.
     """
 
