--- a/applevale/dispatch/prober.py
+++ b/applevale/dispatch/prober.py
@@ -1,4 +1,4 @@
-"""Carries out the probes of engines that the admission controller asks for."""
+"""Executes the engine probes that the admission controller requests."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ..engines.pool import EnginePool
 from ..observability.counters import Counters
 from .clock import UnixClock
-from .lateness import DecayingLateness
+from .decaying_duration import DecayingDuration
 
 
 class EngineProber:
-    """Probes engines and submits the results.
+    """Probes engines and submits the results as events.
 
     Attributes:
-        latency: How long probes took lately.
+        latency: Recent duration of successful probes.
     """
 
     def __init__(
@@ -25,15 +25,15 @@
         submit: Callable[[api.ProbeResult], None],
         counters: Counters,
     ) -> None:
-        """Probe the engines of a pool; `submit` is given each result."""
-        self.latency = DecayingLateness()
+        """Create a prober for the engines of a pool; `submit` is called with each result."""
+        self.latency = DecayingDuration()
         self._engine_pool = engine_pool
         self._clock = clock
         self._submit = submit
         self._counters = counters
 
     def probe(self, engine: int) -> None:
-        """Probe an engine."""
+        """Probe an engine; the result is submitted later."""
         self._counters["probes"] += 1
         started_at = self._clock.now()
 
@@ -46,5 +46,5 @@
 
     def _record_latency(self, result: api.Result, duration: float) -> None:
         now = self._clock.latest
-        if result is api.Result.OK and duration >= self.latency.weighted(now):
+        if result is api.Result.OK and duration >= self.latency.decayed(now):
             self.latency.record(duration, now)
