--- a/applevale/startup/__init__.py
+++ b/applevale/startup/__init__.py
@@ -1,1 +1,1 @@
-"""How an instance starts and reconnects as one of hundreds, without overloading what all of them call."""
+"""Start and reconnection of an instance in a fleet of hundreds without overloading shared services."""
--- a/applevale/startup/adaptive_backoff.py
+++ b/applevale/startup/adaptive_backoff.py
@@ -1,33 +1,35 @@
 """Backoff towards a service that many instances call: full jitter over a window that adapts to its load.
 
-An instance does not know how many others there are; it only sees slow and throttled responses. Invariants:
+An instance does not know how many other instances there are; it sees only slow and throttled responses.
+Invariants:
 
-- Towards a fast service there is no delay: the window is zero until a response was slow or throttled.
-- Each delay is drawn anew over the whole window, so that instances that were in step do not stay so.
-- The delay that a throttling response asks for (`Retry-After`) is a minimum with the jitter on top: all
-  instances were given the same value.
+- A fast service is called without delay: the window is zero until responses are slow or throttled.
+- Each delay is drawn anew from the whole window, so that instances that sent requests at the same time spread
+  out.
+- The delay that a throttling response asks for (`Retry-After`) is a minimum. The jitter is added to it, since
+  all instances may have received the same value.
 
-The module does no I/O and reads no clock.
+The module does no I/O and reads no clock. Durations are in seconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SLOW_RESPONSE_SECONDS = 0.1  # a response to a short read that takes longer is slow
-SLOW_RESPONSES_TO_WIDEN = 2  # in a row; a single one may be a fault of the network
-WINDOW_PER_LATENCY = 4.0  # the window, as a multiple of the duration of a slow response
+SLOW_RESPONSE_SECONDS = 0.1  # Shortest duration of a short read that counts as slow.
+SLOW_RESPONSES_TO_WIDEN = 2  # A single slow response may be due to the network.
+WINDOW_PER_LATENCY = 4.0  # Ratio of the window to the duration of a slow response.
 MIN_WINDOW_SECONDS = 0.25
 MAX_WINDOW_SECONDS = 4.0
 
 
 @dataclass
 class AdaptiveBackoff:
-    """The backoff state of one instance.
+    """Backoff state of one instance.
 
     Attributes:
-        window: The present length of the window in seconds; zero for no delay.
-        consecutive_slow: The slow responses in a row.
+        window: Current length of the window in seconds; zero for no delay.
+        consecutive_slow: Number of consecutive slow responses.
     """
 
     window: float = 0.0
@@ -43,17 +45,18 @@
             self.window = self.window / 2 if self.window > MIN_WINDOW_SECONDS else 0.0
 
     def record_throttled(self) -> None:
-        """Widen the window after a request that was rejected for load."""
+        """Widen the window after a request that was rejected because of the service's load."""
         self._widen(MIN_WINDOW_SECONDS)
 
     def next_delay(self, random_value: float, retry_after: float = 0.0) -> float:
-        """Return the seconds until the next request.
+        """Return the delay before the next request, in seconds.
 
         Args:
-            random_value: A random number from 0 to 1.
-            retry_after: The seconds that a throttling response asked for.
+            random_value: Random number from 0 to 1.
+            retry_after: Delay that a throttling response asked for, in seconds.
         """
         return retry_after + random_value * self.window
 
     def _widen(self, minimum: float) -> None:
+        """Double the window, to at least `minimum` seconds and at most the maximum."""
         self.window = min(MAX_WINDOW_SECONDS, max(2 * self.window, minimum))
--- a/applevale/startup/latency.py
+++ b/applevale/startup/latency.py
@@ -1,4 +1,4 @@
-"""An estimator of response times, with the smoothing of RFC 6298. No I/O and no clock."""
+"""An estimator of response times, with the smoothing of RFC 6298. It does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 MEAN_GAIN = 1 / 8
 DEVIATION_GAIN = 1 / 4
 UPPER_BOUND_DEVIATIONS = 4
-INITIAL_SECONDS = 0.05  # high for a service not yet measured, so that no response is judged late too soon
+INITIAL_LATENCY_SECONDS = 0.05  # High, so that early responses of an unmeasured service do not count as late.
 
 
 @dataclass
 class LatencyEstimator:
     """Smoothed mean and deviation of response times, in seconds."""
 
-    mean: float = INITIAL_SECONDS
-    deviation: float = INITIAL_SECONDS
+    mean: float = INITIAL_LATENCY_SECONDS
+    deviation: float = INITIAL_LATENCY_SECONDS
     has_samples: bool = False
 
     def record(self, duration: float) -> None:
@@ -29,5 +29,5 @@
         self.mean += MEAN_GAIN * (duration - self.mean)
 
     def upper_bound(self) -> float:
-        """Return the seconds within which nearly all responses come."""
+        """Return the duration that nearly all responses stay below, in seconds."""
         return self.mean + UPPER_BOUND_DEVIATIONS * self.deviation
