--- a/applevale/discovery/registry/synchronizer.py
+++ b/applevale/discovery/registry/synchronizer.py
@@ -95,7 +95,7 @@
         self.stats.full_reads += 1
         entries = self.watched_list.replace(revision, requested_at, records)
         self.sessions.rotation.record_success()
-        is_timely = self.pacer.guard.proven
+        is_timely = self.pacer.guard.had_timely_response
         next_poll_at = self.pacer.next_poll_at(requested_at) if is_timely else now
         session.begin_watching(now, revision, next_poll_at)
         return [Publish(entries, is_snapshot=True), Watch(session.session_id, revision + 1)]
--- a/applevale/startup/staleness_guard.py
+++ b/applevale/startup/staleness_guard.py
@@ -1,17 +1,18 @@
-"""Decides whether a bound on staleness can be guaranteed at the polling rate and latency there is.
+"""Circuit breaker for a staleness guarantee that the current polling rate and latency may be unable to keep.
 
-The guard works like a circuit breaker with the states active -> suspended -> on trial -> active. Invariants:
+The states are active -> suspended -> on trial -> active. Invariants:
 
-- A single violation of the bound suspends nothing: the next response ends it. Several within a short time
-  do, and so do responses that take too long for any polling rate.
-- Nothing is guaranteed before a first response came in time, so a start at a slow service does not flap; an
-  instance that is late itself has more time to find out.
-- Once suspended, the guarantee stays so without interruption until a trial at the full polling rate went
-  through without a violation.
-- While it is suspended polls are rare, which relieves a service that too many instances poll.
-- Each failed trial lengthens the delay before the next one, up to a bound; one that succeeds resets it.
+- A single violation of the staleness bound does not suspend the guarantee, since the next response ends the
+  violation. Several violations within a short time suspend it, and so do responses that are too slow for any
+  polling rate.
+- There is no guarantee before the first timely response, so that it does not flap at the start against a slow
+  service. Until then more slow responses are tolerated, because they may be due to a delay in the instance
+  itself.
+- A suspended guarantee stays suspended until a trial at the full polling rate passes without a violation.
+- Polls are rare during a suspension, which relieves a service that too many instances poll.
+- Each failed trial lengthens the delay before the next one, up to a maximum. A trial that passes resets it.
 
-The module does no I/O and reads no clock; times are in seconds.
+The module does no I/O and reads no clock. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -22,19 +23,19 @@
 from math import inf
 
 VIOLATION_WINDOW_SECONDS = 6.0
-MAX_VIOLATIONS = 4  # in that window, at which the guarantee is suspended
-MAX_CONSECUTIVE_SLOW = 3  # slow responses at which the guarantee is suspended
-UNPROVEN_SLOW_FACTOR = 3  # times as many before a first response came in time
-TRIAL_SECONDS = 1.0  # at the full polling rate without a violation
-MIN_POLL_INTERVAL_SECONDS = 1.0  # while suspended, at first
-MAX_POLL_INTERVAL_SECONDS = 4.0  # while suspended, after failed trials
+VIOLATIONS_TO_SUSPEND = 4  # Counted within `VIOLATION_WINDOW_SECONDS`.
+SLOW_RESPONSES_TO_SUSPEND = 3
+STARTUP_SLOW_FACTOR = 3  # Multiplies `SLOW_RESPONSES_TO_SUSPEND` until there was a timely response.
+TRIAL_SECONDS = 1.0
+MIN_SUSPENDED_POLL_INTERVAL_SECONDS = 1.0
+MAX_SUSPENDED_POLL_INTERVAL_SECONDS = 4.0
 MIN_TRIAL_DELAY_SECONDS = 0.5
 MAX_TRIAL_DELAY_SECONDS = 16.0
-MAX_DOUBLINGS = 10
+MAX_BACKOFF_DOUBLINGS = 10
 
 
 class GuardState(Enum):
-    """Whether the bound is guaranteed."""
+    """State of the staleness guarantee."""
 
     ACTIVE = "active"
     SUSPENDED = "suspended"
@@ -43,89 +44,94 @@
 
 @dataclass
 class StalenessGuard:
-    """The state of one guarantee.
+    """Circuit breaker of one staleness guarantee.
 
     Attributes:
-        response_budget: The seconds a response may take so that the next poll still comes in time.
-        state: The present state.
-        violations: When the bound was violated lately.
-        consecutive_slow: The responses in a row that took longer than the budget.
-        proven: Whether any response came in time.
-        state_since: When the present state began.
-        failed_trials: The failed trials in a row.
-        trial_delay: The seconds from the suspension until the next trial.
+        response_budget: Longest duration of a timely response, in seconds. With a longer one the next poll
+            would be too late.
+        state: Current state.
+        violations: Times of the latest violations of the bound.
+        consecutive_slow: Number of consecutive responses that took longer than the budget.
+        had_timely_response: Whether any response so far was timely.
+        state_since: Time at which the current state began.
+        failed_trials: Number of consecutive failed trials.
+        trial_delay: Time from the suspension until the next trial, in seconds.
     """
 
     response_budget: float
     state: GuardState = GuardState.ACTIVE
-    violations: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_VIOLATIONS))
+    violations: deque[float] = field(default_factory=lambda: deque(maxlen=VIOLATIONS_TO_SUSPEND))
     consecutive_slow: int = 0
-    proven: bool = False
+    had_timely_response: bool = False
     state_since: float = -inf
     failed_trials: int = 0
     trial_delay: float = 0.0
 
     @property
     def is_guaranteed(self) -> bool:
-        """Whether the bound is guaranteed now."""
-        return self.proven and self.state is GuardState.ACTIVE
+        """Whether the bound is guaranteed at present."""
+        return self.had_timely_response and self.state is GuardState.ACTIVE
 
     def record_handshake(self, duration: float) -> None:
-        """Record the first response of a session; a slow one may be due to the connection and is ignored."""
+        """Record the first response of a session, which took `duration` seconds.
+
+        A slow one is ignored: opening the connection may have taken most of its time.
+        """
         if duration <= self.response_budget:
-            self.proven = True
+            self.had_timely_response = True
 
-    def record_response(self, now: float, duration: float, exceeded: bool, random_value: float) -> None:
-        """Record a response.
+    def record_response(self, now: float, duration: float, is_violation: bool, random_value: float) -> None:
+        """Record a response to a poll.
 
         Args:
-            now: The present time.
-            duration: How long the response took.
-            exceeded: Whether the bound was violated before the response, or still is.
-            random_value: A random number from 0 to 1.
+            now: Current time.
+            duration: Time from the poll to the response, in seconds.
+            is_violation: Whether the staleness bound was exceeded until this response, or still is.
+            random_value: Random number from 0 to 1.
         """
         is_slow = duration > self.response_budget
-        is_first_proof = not (self.proven or is_slow)
+        is_first_timely = not (self.had_timely_response or is_slow)
         self.consecutive_slow = self.consecutive_slow + 1 if is_slow else 0
-        self.proven = self.proven or not is_slow
-        if exceeded:
+        self.had_timely_response = self.had_timely_response or not is_slow
+        if is_violation:
             self.violations.append(now)
         match self.state:
             case GuardState.ACTIVE:
                 if self._must_suspend(now):
                     self._suspend(now, random_value)
             case GuardState.ON_TRIAL:
-                if exceeded or is_slow:
+                if is_violation or is_slow:
                     self._fail_trial(now, random_value)
                 elif now - self.state_since >= TRIAL_SECONDS:
                     self._pass_trial(now)
             case GuardState.SUSPENDED:
-                if is_first_proof:  # nothing was guaranteed before: no trial is needed
+                if is_first_timely:  # There was no guarantee yet, so no trial is needed.
                     self._enter(GuardState.ACTIVE, now)
                 elif not is_slow and now - self.state_since >= self.trial_delay:
                     self._enter(GuardState.ON_TRIAL, now)
 
     def record_throttled(self, now: float, random_value: float) -> None:
-        """Record a poll that was rejected for load: it fails a trial.
+        """Record a poll that was rejected because of the service's load, which fails a trial.
 
         Args:
-            now: The present time.
-            random_value: A random number from 0 to 1.
+            now: Current time.
+            random_value: Random number from 0 to 1.
         """
         if self.state is GuardState.ON_TRIAL:
             self._fail_trial(now, random_value)
 
     def min_poll_interval(self) -> float:
-        """Return the least seconds between two polls; zero for as many as the bound needs."""
+        """Return the shortest interval between two polls in seconds; zero unless suspended."""
         if self.state is not GuardState.SUSPENDED:
             return 0.0
-        return self._back_off(MIN_POLL_INTERVAL_SECONDS, MAX_POLL_INTERVAL_SECONDS)
+        return self._back_off(MIN_SUSPENDED_POLL_INTERVAL_SECONDS, MAX_SUSPENDED_POLL_INTERVAL_SECONDS)
 
     def _must_suspend(self, now: float) -> bool:
-        if len(self.violations) == MAX_VIOLATIONS and now - self.violations[0] <= VIOLATION_WINDOW_SECONDS:
+        has_enough_violations = len(self.violations) == VIOLATIONS_TO_SUSPEND
+        if has_enough_violations and now - self.violations[0] <= VIOLATION_WINDOW_SECONDS:
             return True
-        factor = 1 if self.proven else UNPROVEN_SLOW_FACTOR
-        return self.consecutive_slow >= factor * MAX_CONSECUTIVE_SLOW
+        factor = 1 if self.had_timely_response else STARTUP_SLOW_FACTOR
+        return self.consecutive_slow >= factor * SLOW_RESPONSES_TO_SUSPEND
 
     def _suspend(self, now: float, random_value: float) -> None:
         self._enter(GuardState.SUSPENDED, now)
@@ -146,5 +152,5 @@
         self.state_since = now
 
     def _back_off(self, minimum: float, maximum: float) -> float:
-        """Return `minimum` doubled for each failed trial, at most `maximum`."""
-        return min(maximum, minimum * 2 ** min(self.failed_trials, MAX_DOUBLINGS))
+        """Return `minimum`, doubled for each failed trial, but at most `maximum`."""
+        return min(maximum, minimum * 2 ** min(self.failed_trials, MAX_BACKOFF_DOUBLINGS))
