--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -13,29 +13,31 @@
 from ...startup.staleness_guard import GuardState, StalenessGuard
 from .watcher_config import WatcherConfig
 
-FAST_RESPONSE_STREAK = 10  # consecutive fast responses after which earlier standby sessions no longer count
-LATENESS_PATIENCE_FACTOR = 10.0  # additional patience with a session, as a multiple of the lateness
-MIN_POLL_INTERVAL_RATIO = 0.9  # shortest poll interval that is drawn, as a share of the longest
-POLL_DEADLINE_SHARE = 0.9  # of `max_staleness`: a poll's response is expected by then
-SEVERE_LAPSE_FACTOR = 1.5  # multiple of `max_staleness` that counts as a lapse however fast the response was
-STANDBY_LATENCY_FACTOR = 2  # multiple of the high latency that is waited before a standby session is opened
-SESSION_LATENCY_FACTOR = 4  # multiple of the high latency after which a silent session has failed
-STANDBY_TIMEOUT_FACTOR = 2  # multiple of the patience with the active session
-MIN_STANDBY_TIMEOUT_SHARE = 0.4  # of `max_staleness`
+MIN_CONSECUTIVE_FAST_RESPONSES = 10  # From this number on the service as a whole counts as fast.
+STANDBY_DELAY_PER_LATENESS = 10.0
+MIN_POLL_INTERVAL_RATIO = 0.9  # Lowest ratio of the shortest to the longest poll interval.
+POLL_DEADLINE_SHARE = 0.9  # Share of `max_staleness` within which the response to a poll is expected.
+SEVERE_STALENESS_FACTOR = 1.5  # Beyond this multiple of `max_staleness`, even fast responses are violations.
+STANDBY_DELAY_PER_LATENCY = 2  # Ratio to the upper bound of the latency.
+SESSION_TIMEOUT_PER_LATENCY = 4  # Ratio to the upper bound of the latency.
+STANDBY_TIMEOUT_PER_DELAY = 2  # Ratio to the time for which the active session was silent.
+MIN_STANDBY_TIMEOUT_SHARE = 0.4  # Share of `max_staleness`.
 MAX_BACKOFF_DOUBLINGS = 20
 
 
 @dataclass
 class RequestPacer:
-    """Decides when to send requests and how long to wait for responses. The only user of random numbers.
+    """Decides when to send requests and how long to wait for responses.
+
+    It owns the watcher's only random source.
 
     Attributes:
         config: Timing parameters.
-        random: Source of jitter.
+        random: Source of all jitter.
         latency: Recent latency of short reads.
         throttle_backoff: Backoff after throttled and slow responses.
         guard: Whether `max_staleness` can be guaranteed at present.
-        fast_responses: Consecutive responses that were fast enough for the guarantee.
+        consecutive_fast: Consecutive responses that were fast enough for the guarantee.
     """
 
     config: WatcherConfig
@@ -43,10 +45,10 @@
     latency: LatencyEstimator = field(default_factory=LatencyEstimator)
     throttle_backoff: AdaptiveBackoff = field(default_factory=AdaptiveBackoff)
     guard: StalenessGuard = field(init=False)
-    fast_responses: int = 0
+    consecutive_fast: int = 0
 
     def __post_init__(self) -> None:
-        """Allow a response the time that is left between the shortest poll interval and the bound."""
+        """Derive the response budget: what `max_staleness` leaves after the shortest poll interval."""
         config = self.config
         self.guard = StalenessGuard(
             response_budget=config.max_staleness * (1 - config.min_poll_interval_share)
@@ -55,63 +57,64 @@
     @property
     def is_service_fast(self) -> bool:
         """Whether all recent responses were fast enough for the guarantee."""
-        return self.fast_responses >= FAST_RESPONSE_STREAK
+        return self.consecutive_fast >= MIN_CONSECUTIVE_FAST_RESPONSES
 
     @property
     def is_degraded(self) -> bool:
-        """Whether the staleness guarantee is suspended."""
+        """Whether the guard has suspended the staleness guarantee."""
         return self.guard.state is GuardState.SUSPENDED
 
     def record_response(self, duration: float) -> None:
         """Record a response to a short read that took `duration` seconds."""
         self.latency.record(duration)
         self.throttle_backoff.record_success(duration)
-        self.fast_responses = self.fast_responses + 1 if duration <= self.guard.response_budget else 0
+        self.consecutive_fast = self.consecutive_fast + 1 if duration <= self.guard.response_budget else 0
 
     def record_throttled(self, now: float, retry_after: float) -> float:
-        """Record a throttled request.
+        """Record a throttled request and compute its backoff.
 
         Args:
             now: Time of the response.
             retry_after: Delay that the member asked for, in s.
 
         Returns:
-            The time from which the request may be repeated.
+            Earliest time at which the request may be repeated.
         """
         self.throttle_backoff.record_throttled()
         self.guard.record_throttled(now, self.random.random())
         return now + self.throttle_backoff.next_delay(self.random.random(), retry_after)
 
     def record_staleness(self, now: float, duration: float, staleness: float, has_confirmed: bool) -> bool:
-        """Let the guard judge a response to a poll.
+        """Report a response to a poll, and the staleness of the list at that time, to the guard.
 
-        A lapse counts where the response was slow, or where so much is missing that requests were throttled.
+        Staleness beyond the bound is a violation if the response was slow. After a fast response it is one
+        only if the bound was exceeded by so much that requests must have been throttled.
 
         Args:
             now: Time of the response.
-            duration: How long the response took, in s.
+            duration: Time from the poll to the response, in s.
             staleness: Age of the last confirmation, in s.
             has_confirmed: Whether the session has confirmed the list before.
 
         Returns:
-            Whether the guarantee has just been suspended.
+            Whether this response has suspended the guarantee.
         """
         bound = self.config.max_staleness
-        is_lapse = (
+        is_violation = (
             has_confirmed
             and staleness > bound
-            and (duration > self.guard.response_budget or staleness > SEVERE_LAPSE_FACTOR * bound)
+            and (duration > self.guard.response_budget or staleness > SEVERE_STALENESS_FACTOR * bound)
         )
-        former_state = self.guard.state
-        self.guard.record_response(now, duration, is_lapse, self.random.random())
-        return former_state is GuardState.ACTIVE and self.is_degraded
+        previous_state = self.guard.state
+        self.guard.record_response(now, duration, is_violation, self.random.random())
+        return previous_state is GuardState.ACTIVE and self.is_degraded
 
     def reset_latency(self) -> None:
-        """Forget the latency, which was that of another member."""
+        """Forget the measured latency, which belongs to another member."""
         self.latency = LatencyEstimator()
 
     def next_poll_at(self, sent_at: float) -> float:
-        """Return the time of the poll that follows one sent at `sent_at`."""
+        """Return the time of the next poll after one that was sent at `sent_at`."""
         config = self.config
         random_value = self.random.random()
         degraded_interval = self.guard.min_poll_interval()
@@ -119,50 +122,57 @@
             return sent_at + degraded_interval * (0.5 + random_value)
         shortest = config.min_poll_interval_share * config.max_staleness
         longest = config.max_poll_interval_share * config.max_staleness
-        # The mean latency counts, not single late responses: to poll more often after each of them would
-        # make a busy service slower.
-        in_time = config.max_staleness * POLL_DEADLINE_SHARE - self.latency.mean
-        longest = max(shortest, min(longest, in_time))
+        # The mean is used rather than an upper bound: polling more often after each single late response
+        # would slow down a busy service further.
+        timely = config.max_staleness * POLL_DEADLINE_SHARE - self.latency.mean
+        longest = max(shortest, min(longest, timely))
         shortest = max(shortest, MIN_POLL_INTERVAL_RATIO * longest)
         return sent_at + shortest + random_value * (longest - shortest)
 
     def snapshot_delay(self) -> float:
-        """Return how long to wait before a full read: 0 unless the service is slow or throttles."""
+        """Return the delay before a full read, in s; 0 unless the service is slow or throttles requests."""
         return self.throttle_backoff.next_delay(self.random.random())
 
     def reconnect_delay(self, failure_count: int) -> float:
-        """Return an exponential backoff with full jitter, since all instances may have failed at once."""
+        """Return the backoff after `failure_count` earlier failures, in s.
+
+        It is exponential with full jitter, since all instances may have lost the service at the same time.
+        """
         config = self.config
         doublings = min(failure_count, MAX_BACKOFF_DOUBLINGS)
         return min(config.initial_backoff * 2**doublings, config.max_backoff) * self.random.random()
 
     def credentials_delay(self) -> float:
-        """Return the backoff after every member has rejected the credentials."""
+        """Return the backoff after every member has rejected the credentials, in s."""
         return self.config.credentials_backoff * (0.5 + self.random.random() / 2)
 
-    def standby_patience(self, silence: float, silence_random: float, lateness: float) -> float:
-        """Return how long to wait for a response before a standby session is opened.
+    def standby_delay(self, silence: float, random_value: float, lateness: float) -> float:
+        """Return how long the active session may be silent before a standby session is opened, in s.
 
         Args:
-            silence: Time from the last confirmation to the oldest request without an effect, in s.
-            silence_random: Random value of that request, from 0 to 1.
-            lateness: Recent delay of the own event loop, in s.
+            silence: Time from the last confirmation to the oldest poll that has confirmed nothing, in s.
+            random_value: Random number of the last poll, from 0 to 1.
+            lateness: Recent delay of this process's event loop, in s.
         """
         config = self.config
         if self.is_degraded:
-            return config.degraded_patience_share * config.max_staleness
+            return config.degraded_standby_delay_share * config.max_staleness
         if self.is_service_fast and silence < config.max_staleness:
-            shortest = config.min_silence_share
-            longest = config.max_silence_share
-            drawn = (shortest + silence_random * (longest - shortest)) * config.max_staleness
-            return max(drawn, STANDBY_LATENCY_FACTOR * self.latency.upper_bound())
-        return config.slow_service_patience + LATENESS_PATIENCE_FACTOR * lateness
-
-    def standby_timeout(self, patience: float) -> float:
-        """Return how long a standby session may be silent before it is no better than the active one."""
+            shortest = config.min_standby_delay_share
+            longest = config.max_standby_delay_share
+            randomized = (shortest + random_value * (longest - shortest)) * config.max_staleness
+            return max(randomized, STANDBY_DELAY_PER_LATENCY * self.latency.upper_bound())
+        return config.slow_service_standby_delay + STANDBY_DELAY_PER_LATENESS * lateness
+
+    def standby_timeout(self, standby_delay: float) -> float:
+        """Return how long a standby session may be silent before it counts as no faster, in s.
+
+        Args:
+            standby_delay: How long the active session was silent when the standby session was due, in s.
+        """
         shortest = MIN_STANDBY_TIMEOUT_SHARE * self.config.max_staleness
-        return max(STANDBY_TIMEOUT_FACTOR * patience, shortest)
+        return max(STANDBY_TIMEOUT_PER_DELAY * standby_delay, shortest)
 
     def session_timeout(self) -> float:
-        """Return how long the active session may be silent before it has failed."""
-        return max(self.config.session_timeout, SESSION_LATENCY_FACTOR * self.latency.upper_bound())
+        """Return how long the active session may be silent before it counts as failed, in s."""
+        return max(self.config.session_timeout, SESSION_TIMEOUT_PER_LATENCY * self.latency.upper_bound())
--- a/applevale/discovery/registry/session_supervisor.py
+++ b/applevale/discovery/registry/session_supervisor.py
@@ -18,20 +18,20 @@
 
 @dataclass
 class SessionSupervisor:
-    """Owner of the active session and the standby session.
+    """Owns the active session and the standby session, and decides when each is opened.
 
-    A standby session is opened with the next member while the active one is silent. It takes over only if
-    it turns out to be faster, or if the active one fails.
+    A standby session is opened with the next member while the active session is silent. It takes over only
+    if it is faster, or if the active session fails.
 
     Attributes:
-        rotation: The members and their failures.
+        rotation: Order in which members are tried, with their failures.
         pacer: Timeouts and backoff.
-        loop_lag: Lateness of the own event loop.
-        standby_limiter: How often a standby session may be opened.
-        active: The session whose responses count; None during a backoff.
-        standby: The session that is tried beside the active one.
+        loop_lag: Lateness of this process's event loop.
+        standby_limiter: Limit on how often standby sessions are opened.
+        active: Session that keeps the list up to date; None during a backoff.
+        standby: Session that is compared with the active one; None if there is none.
         opened_count: Number of sessions opened so far.
-        reconnect_at: End of the backoff.
+        reconnect_at: End of the backoff after all members failed.
     """
 
     rotation: MemberRotation
@@ -54,7 +54,7 @@
         return None if self.active is None else self.active.phase
 
     def find(self, session_id: int, phase: SessionPhase | None = None) -> SessionState | None:
-        """Return the active session if it has this number and, where given, is in this phase."""
+        """Return the active session if it has this number and, if given, this phase; None otherwise."""
         session = self.active
         if session is None or session.session_id != session_id:
             return None
@@ -79,8 +79,8 @@
     def fail_active(self, now: float, credentials_rejected: bool = False) -> list[Command]:
         """End the active session.
 
-        The standby session takes its place. Without one the next member is tried at once, as long as there
-        is one that has not failed in this round; then a backoff begins.
+        The standby session takes its place if there is one. Otherwise the next member is tried immediately,
+        until all members have failed in the current round; then a backoff begins.
         """
         rotation = self.rotation
         rotation.record_failure(credentials_rejected)
@@ -109,7 +109,7 @@
         self.standby_limiter.record_not_faster()
 
     def fail_standby(self, now: float) -> None:
-        """End the standby session, which failed; another member is tried soon."""
+        """End the standby session, which failed; the next one may be opened after a short backoff."""
         self.standby = None
         backoff = self.pacer.reconnect_delay(self.standby_limiter.failure_count)
         self.standby_limiter.record_failure(now, backoff)
@@ -122,20 +122,24 @@
         self.pacer.reset_latency()
 
     def next_deadline(self, confirmed_at: float) -> float:
-        """Return the time of the next tick; `confirmed_at` is the time of the last confirmation."""
+        """Return the time by which the next tick is due.
+
+        Args:
+            confirmed_at: Time as of which the list was last confirmed.
+        """
         session = self.active
         if session is None:
             return self.reconnect_at
         grace_until = self.loop_lag.grace_until
         poll_at = session.next_poll_at if session.can_poll else inf
-        silent_at = max(grace_until, min(self.standby_start_at(confirmed_at), self.active_expires_at()))
-        standby_over_at = inf
+        silence_deadline = min(self.standby_start_at(confirmed_at), self.active_expires_at())
+        standby_deadline = inf
         if self.standby is not None:
-            standby_over_at = max(grace_until, self.standby_expires_at(confirmed_at))
-        return min(session.delayed_until, poll_at, silent_at, standby_over_at)
+            standby_deadline = max(grace_until, self.standby_expires_at(confirmed_at))
+        return min(session.delayed_until, poll_at, max(grace_until, silence_deadline), standby_deadline)
 
     def active_expires_at(self) -> float:
-        """Return the time at which the active session has failed, with a standby session or without."""
+        """Return the time at which the active session counts as failed if it remains silent."""
         session = self.active
         if session.phase is not SessionPhase.READING:
             return session.waiting_since + self.pacer.session_timeout()
@@ -144,24 +148,25 @@
         return session.last_progress_at + self.pacer.config.snapshot_timeout
 
     def standby_start_at(self, confirmed_at: float) -> float:
-        """Return the time at which a standby session is to be opened."""
+        """Return the time at which a standby session is due; infinite if none is needed."""
         if self.standby is not None or self.active.phase is SessionPhase.READING:
             return inf
-        impatient_at = self.active.waiting_since + self._patience(confirmed_at)
+        due_at = self.active.waiting_since + self._standby_delay(confirmed_at)
         allowed_at = self.standby_limiter.earliest_start(self.rotation.member_count)
         if self.pacer.is_degraded:
-            delay = self.pacer.config.degraded_standby_delay
+            delay = self.pacer.config.degraded_standby_holdoff
             allowed_at = max(allowed_at, self.pacer.guard.state_since + delay)
-        return max(impatient_at, allowed_at)
+        return max(due_at, allowed_at)
 
     def standby_expires_at(self, confirmed_at: float) -> float:
-        """Return the time at which a silent standby session is no better than the active one."""
-        return self.standby.started_at + self.pacer.standby_timeout(self._patience(confirmed_at))
+        """Return the time at which a silent standby session counts as no faster than the active one."""
+        return self.standby.started_at + self.pacer.standby_timeout(self._standby_delay(confirmed_at))
 
-    def _patience(self, confirmed_at: float) -> float:
+    def _standby_delay(self, confirmed_at: float) -> float:
+        """Return how long the active session may be silent before a standby session is opened, in s."""
         session = self.active
         silence = session.waiting_since - confirmed_at
-        return self.pacer.standby_patience(silence, session.silence_random, self.loop_lag.lateness)
+        return self.pacer.standby_delay(silence, session.standby_delay_random, self.loop_lag.lateness)
 
     def _open(self, now: float) -> SessionState:
         self.opened_count += 1
