--- a/applevale/discovery/registry/loop_lag.py
+++ b/applevale/discovery/registry/loop_lag.py
@@ -8,20 +8,20 @@
 from dataclasses import dataclass
 from math import inf
 
-LATENESS_DECAY = 0.8  # factor from one tick to the next
-MAX_GRACE_TICKS = 3  # consecutive late ticks that are each followed by a grace period
+LATENESS_DECAY = 0.8  # Factor per tick.
+MAX_GRACE_TICKS = 3  # Further consecutive late ticks have no grace period.
 
 
 @dataclass
 class LoopLagMonitor:
-    """Detects an event loop that stalled or runs late, so that unread responses are not taken for silence.
+    """Detects an event loop that stalls or runs late, so that unread responses do not count as silence.
 
     Attributes:
-        threshold: Delay of a tick that counts as late, in s.
-        grace_until: Time before which silence of a session has no effect.
-        last_event_at: Time of the last event of any kind.
-        late_ticks: Consecutive late ticks.
-        lateness: Recent delay of ticks, decaying, in s.
+        threshold: Delay above which a tick counts as late, in s. It is also the length of a grace period.
+        grace_until: End of the grace period, in which the silence of a session has no effect.
+        last_event_at: Time of the last tick or other event.
+        late_ticks: Number of consecutive late ticks.
+        lateness: Recent delay of ticks, which decays over time, in s.
     """
 
     threshold: float
@@ -35,7 +35,7 @@
         self.last_event_at = now
 
     def record_tick(self, now: float, deadline: float) -> None:
-        """Record a tick that was due at `deadline`. A deadline before the last event is not late."""
+        """Record a tick that was due at `deadline`, or at the last event if that was later."""
         lateness = now - max(deadline, self.last_event_at)
         self.lateness = max(lateness, LATENESS_DECAY * self.lateness)
         is_late = lateness > self.threshold
@@ -45,5 +45,5 @@
         self.last_event_at = now
 
     def is_punctual(self, now: float, period: float) -> bool:
-        """Return whether the loop is on time and the last grace period ended over `period` seconds ago."""
+        """Return whether the loop is on time, and the last grace period ended over `period` seconds ago."""
         return now - self.grace_until > period and self.lateness <= self.threshold
--- a/applevale/discovery/registry/standby_limiter.py
+++ b/applevale/discovery/registry/standby_limiter.py
@@ -10,18 +10,19 @@
 
 from .watcher_config import WatcherConfig
 
-MAX_STANDBY_DOUBLINGS = 10
+MAX_INTERVAL_DOUBLINGS = 10
 
 
 @dataclass
 class StandbyLimiter:
-    """Limits how often standby sessions are opened.
+    """Limits how often standby sessions are opened, by an interval that grows while they are no faster.
 
     Attributes:
         config: Timing parameters.
-        started_at: Times at which the last standby sessions were opened.
+        started_at: Times at which the latest standby sessions were opened.
         not_faster_count: Consecutive standby sessions that were no faster than the active one.
-        failure_count: Consecutive standby sessions that failed and so gave no comparison.
+        failure_count: Consecutive standby sessions that failed before they could be compared with the
+            active one.
         not_before: End of the backoff after a failed standby session.
     """
 
@@ -37,7 +38,7 @@
         limit = max(1, member_count - 1)
         if len(self.started_at) < limit:
             return self.not_before
-        doublings = min(self.not_faster_count, MAX_STANDBY_DOUBLINGS)
+        doublings = min(self.not_faster_count, MAX_INTERVAL_DOUBLINGS)
         interval = min(config.max_standby_interval, config.initial_standby_interval * 2**doublings)
         return max(self.started_at[-limit] + interval, self.not_before)
 
@@ -46,11 +47,16 @@
         self.started_at = [*self.started_at[-member_count:], now]
 
     def record_not_faster(self) -> None:
-        """Record a standby session that was no faster: the service is slow, not one member."""
+        """Record a standby session that was no faster, which shows that the whole service is slow."""
         self.not_faster_count += 1
 
     def record_failure(self, now: float, backoff: float) -> None:
-        """Record a standby session that failed. It gave no comparison and does not count as opened."""
+        """Record a standby session that failed. It allowed no comparison and does not count as opened.
+
+        Args:
+            now: Time of the failure.
+            backoff: Time during which no standby session may be opened, in s.
+        """
         if self.started_at:
             self.started_at.pop()
         self.not_before = now + backoff
@@ -62,6 +68,6 @@
         self.failure_count = 0
 
     def reset(self) -> None:
-        """Forget the past: what made sessions slow, or standby sessions fail, is over."""
+        """Forget earlier standby sessions, once the cause of their failure or slowness is over."""
         self.record_takeover()
         self.started_at.clear()
