--- a/applevale/discovery/registry/synchronizer.py
+++ b/applevale/discovery/registry/synchronizer.py
@@ -1,4 +1,4 @@
-"""Synchronizes the watched list over the active session.
+"""Synchronization of the watched list with the registry.
 
 No I/O and no clock: callers pass the time. Times and durations are in seconds.
 """
@@ -18,14 +18,14 @@
 
 
 class ListSynchronizer:
-    """Brings the watched list up to date and confirms it, by what the active session returns.
+    """Updates and confirms the watched list from the responses of the active session.
 
     Attributes:
         watched_list: The watched list with its revision.
         sessions: The active session and the standby session.
         pacer: Polls and backoff, with the staleness guard.
-        loop_lag: Lateness of the driver's event loop.
-        requests: Requests of the active session.
+        loop_lag: Lateness of the event loop.
+        requests: Sends the requests of the active session.
         stats: Numbers of events.
         resumable: Whether a watch can continue the list of an earlier session.
     """
@@ -39,7 +39,7 @@
         *,
         resumable: bool,
     ):
-        """Create a synchronizer of `watched_list`; all objects are shared with the watcher."""
+        """Create a synchronizer of `watched_list`. The watcher and its other parts share all objects."""
         self.watched_list = watched_list
         self.sessions = sessions
         self.requests = requests
@@ -51,13 +51,13 @@
     def begin_session(
         self, now: float, session: SessionState, requested_at: float, revision: int, cluster_id: int
     ) -> list[Command]:
-        """Continue the list over a session whose handshake was answered, or read a snapshot.
+        """Continue the list over a session that has completed its handshake, or read a snapshot.
 
         Args:
             now: Time of the response.
             session: The active session.
             requested_at: Time at which the handshake was sent.
-            revision: The registry's revision.
+            revision: Current revision of the registry.
             cluster_id: Identity of the member's cluster; 0 if it is not known.
         """
         session.last_progress_at = now
@@ -74,7 +74,7 @@
     def handle_poll_response(
         self, now: float, session: SessionState, requested_at: float, revision: int
     ) -> list[Command]:
-        """Evaluate the response to a poll that was sent at `requested_at`."""
+        """Handle the response to a poll that was sent at `requested_at`."""
         self._record_response(now - requested_at)
         return self._observe_revision(now, session, requested_at, revision)
 
@@ -86,17 +86,21 @@
         revision: int,
         records: Iterable[KeyValuePair],
     ) -> list[Command]:
-        """Take over a snapshot and watch from its revision, unless the member lags."""
+        """Replace the list by a snapshot and watch from its revision, unless the member lags.
+
+        An older revision is accepted only from another cluster, or if all members lag: the registry has
+        then been restored from a backup.
+        """
         is_older = revision < self.watched_list.revision
-        if is_older and not self.watched_list.cluster_changed and not self._all_members_lag(session):
+        if is_older and not self.watched_list.cluster_changed and not self._record_lag(session):
             return self._abandon_lagging_member(now, session)
         if is_older or self.watched_list.cluster_changed:
             self.stats.restored += 1
         self.stats.full_reads += 1
         entries = self.watched_list.replace(revision, requested_at, records)
         self.sessions.rotation.record_success()
-        is_timely = self.pacer.guard.had_timely_response
-        next_poll_at = self.pacer.next_poll_at(requested_at) if is_timely else now
+        had_timely_response = self.pacer.guard.had_timely_response
+        next_poll_at = self.pacer.next_poll_at(requested_at) if had_timely_response else now
         session.begin_watching(now, revision, next_poll_at)
         return [Publish(entries, is_snapshot=True), Watch(session.session_id, revision + 1)]
 
@@ -107,9 +111,9 @@
         revision: int,
         events: Iterable[KeyValueEvent],
     ) -> list[Command]:
-        """Apply events of the watch, which has delivered all up to `revision`.
+        """Apply events of the watch, which has delivered all changes up to `revision`.
 
-        A watch whose events are out of order cannot be trusted: its session ends, and a snapshot is required.
+        If events are out of order some may be missing, so the session ends and a snapshot is required.
         """
         applied = self.watched_list.apply(events)
         self.stats.duplicates += applied.duplicates
@@ -122,13 +126,14 @@
             self.watched_list.snapshot_required = True
             return commands + self.sessions.fail_active(now)
         if revision < self.watched_list.revision and not applied.entries:
-            return []  # a member that lags: its watch may report this without having lost an event
+            return []  # The member lags, but its watch need not have lost an event.
         self.watched_list.revision = max(self.watched_list.revision, applied.last_revision, revision)
         session.watch_revision = max(session.watch_revision, self.watched_list.revision)
         self._confirm_if_caught_up(now, session)
         return commands
 
     def _record_response(self, duration: float) -> None:
+        """Record a response to a short read; a fast service makes earlier standby sessions irrelevant."""
         self.pacer.record_response(duration)
         if self.pacer.is_service_fast:
             self.sessions.standby_limiter.reset()
@@ -136,10 +141,13 @@
     def _observe_revision(
         self, now: float, session: SessionState, requested_at: float, revision: int
     ) -> list[Command]:
-        """Evaluate the revision that a read requested at `requested_at` has returned."""
+        """Handle a revision returned by a read that was sent at `requested_at`.
+
+        If the watch is behind that revision, a progress notification is requested.
+        """
         if revision < self.watched_list.revision:
             return self._abandon_lagging_member(now, session)
-        self._judge_staleness(now, session, requested_at)
+        self._evaluate_staleness(now, session, requested_at)
         session.poll_sent_at = inf
         session.next_poll_at = self.pacer.next_poll_at(requested_at)
         session.observe_revision(requested_at, revision)
@@ -149,8 +157,8 @@
         session.unconfirmed_since = min(session.unconfirmed_since, requested_at)
         return [RequestProgress(session.session_id)]
 
-    def _judge_staleness(self, now: float, session: SessionState, requested_at: float) -> None:
-        """Let the guard judge the response, unless the own event loop may be the cause of its delay."""
+    def _evaluate_staleness(self, now: float, session: SessionState, requested_at: float) -> None:
+        """Report the response to the staleness guard, unless this event loop may have delayed it."""
         if not self.loop_lag.is_punctual(now, self.pacer.config.max_staleness):
             return
         staleness = now - self.watched_list.confirmed_at
@@ -159,7 +167,7 @@
         )
 
     def _confirm_if_caught_up(self, now: float, session: SessionState) -> None:
-        """Confirm the list once the watch has delivered all changes up to a revision that was polled."""
+        """Confirm the list if the watch has delivered all changes up to the polled revision."""
         if not session.is_caught_up:
             return
         if session.is_resuming:
@@ -169,15 +177,16 @@
         self.sessions.rotation.record_success()
         session.record_confirmation(now)
 
-    def _all_members_lag(self, session: SessionState) -> bool:
+    def _record_lag(self, session: SessionState) -> bool:
+        """Record that the session's member lags, and return whether all members do."""
         return self.sessions.rotation.record_lag(session.member_index)
 
     def _abandon_lagging_member(self, now: float, session: SessionState) -> list[Command]:
-        """End a session whose member is behind: changes it would deliver have been superseded.
+        """End a session whose member returned an older state: its changes would be outdated.
 
-        If all members agree on an older state, it is read anew.
+        If all members have done so, the registry was restored, and a snapshot is required.
         """
-        if self._all_members_lag(session):
+        if self._record_lag(session):
             self.watched_list.snapshot_required = True
         self.stats.lagging += 1
         return self.sessions.fail_active(now)
