--- a/applevale/discovery/registry/watcher.py
+++ b/applevale/discovery/registry/watcher.py
@@ -1,25 +1,25 @@
 """State machine that watches a registry and keeps a list of endpoints up to date.
 
-No I/O and no clock. The driver reports what happened through the `on_...` methods, each with the time, and
-carries out the commands that they return. Invariants:
-
-- A change is published once, in the order of revisions. The revision decreases only with a snapshot that is
-  taken for that of a restored registry.
-- The list is confirmed as of the time at which a poll was sent whose response shows that the list was
-  complete. It is never confirmed as of the time of the response, which may have been delayed.
-- A published list remains until a better one is known; no failure empties it.
+The module does no I/O and reads no clock. The driver reports events and their times through the `on_...`
+methods, and executes the commands that they return. Invariants:
+
+- Each change is published once, in the order of revisions. The revision decreases only if a snapshot shows
+  that the registry was restored.
+- When the response to a poll shows that the list was complete, the list is confirmed as of the time at which
+  that poll was sent. The time of the response is not used, since the response may have been delayed.
+- A published list stays until a newer one is known. No failure empties it.
 - Responses of a session (a connection to one member) are ignored once another session has replaced it.
-- A session has at most one poll in flight. Polls are as frequent as the staleness bound requires; while the
-  bound cannot be guaranteed they are rare, and the list counts as not confirmed.
-- A working session is not abandoned because the service is slow for all clients. If it is silent for longer
-  than usual, a standby session is opened with the next member. If the standby responds at least twice as
-  fast, it takes over; otherwise all members are slow, the session stays, and the interval before the next
-  standby session grows.
+- A session has at most one poll in flight. Polls are as frequent as the staleness bound requires. While the
+  bound cannot be guaranteed, polls are rare and the list counts as not confirmed.
+- A working session is not abandoned because the service is slow for all clients. If a session is silent for
+  longer than usual, a standby session is opened with the next member. If the standby session responds at
+  least twice as fast, it takes over. Otherwise all members are slow: the active session stays, and the
+  interval before the next standby session grows.
 - A throttled request is repeated in the same session after a backoff.
 
-A session goes through the phases connecting, reading (unless it can resume) and watching. A member that
-returns an older state than one that was seen before is abandoned. Only when all members in a row have done
-so, the registry is considered restored from a backup, and its list is taken over.
+A session goes through the phases connecting, reading (unless it can resume) and watching. A session is ended
+if its member returns an older state than one that was seen before. Once all members have done so, with no
+up-to-date member in between, the registry counts as restored from a backup, and its state is adopted.
 """
 
 from __future__ import annotations
@@ -47,20 +47,20 @@
 class RegistryWatcher:
     """Watches a registry over one active session at a time.
 
-    The `on_...` methods return the commands to carry out. Their parameters are `now`, the time of the event,
-    `session_id`, the number of the session, and for a response `requested_at`, the time at which the request
-    was sent that it answers.
+    The `on_...` methods return the commands to execute. Their common parameters are `now`, the time of the
+    event, `session_id`, the number of the session, and `requested_at`, the time at which the request of a
+    response was sent.
 
     Attributes:
         config: Timing parameters.
         watched_list: The watched list with its revision.
-        pacer: Polls, backoff and timeouts, with the staleness guard.
-        loop_lag: Lateness of the driver's event loop.
+        pacer: Timing of polls, backoff and timeouts, with the staleness guard.
+        loop_lag: Lateness of the event loop.
         sessions: The active session and the standby session.
         stats: Numbers of events.
-        requests: Requests of the active session, and their repetition.
-        failover: Timeouts of sessions, and the takeover by the standby session.
-        synchronizer: What keeps the list up to date over the active session.
+        requests: Sends and repeats the requests of the active session.
+        failover: Handles timeouts of sessions and takeovers by the standby session.
+        synchronizer: Keeps the list up to date over the active session.
     """
 
     def __init__(
@@ -76,12 +76,13 @@
         """Create a watcher that has no session yet; the first `on_tick` opens one.
 
         Args:
-            member_count: Number of addresses of the registry.
-            table: The list that is kept up to date.
+            member_count: Number of the registry's members.
+            table: Receives the list that is kept up to date.
             resumable: Whether a watch can continue the list of an earlier session.
             config: Timing parameters.
-            random: Source of jitter.
-            last_member_index: Position of the member before the one that is tried first.
+            random: Source of all jitter.
+            last_member_index: Index of the member before the one that is tried first; -1 for the first
+                member.
         """
         self.config = WatcherConfig() if config is None else config
         self.stats = WatcherStats()
@@ -127,31 +128,31 @@
         )
 
     def next_deadline(self) -> float:
-        """Return the time at which `on_tick` is due at the latest."""
+        """Return the time by which `on_tick` has to be called."""
         return self.sessions.next_deadline(self.watched_list.confirmed_at)
 
     # --- events ---------------------------------------------------------------------------------------------
 
     def restore(self, revision: int, records: Iterable[KeyValuePair]) -> list[Command]:
-        """Publish a stored list, which is not confirmed; a watch is tried from its revision."""
+        """Publish a stored list, which is not confirmed; the first session resumes from its revision."""
         return [Publish(self.watched_list.restore(revision, records), is_snapshot=True)]
 
     def on_tick(self, now: float) -> list[Command]:
-        """Do what is due: polls, delayed requests, timeouts and reconnects."""
+        """Execute what is due: polls, delayed requests, timeouts and reconnects."""
         session = self.session
         if session is None:
             return self.sessions.connect(now) if now >= self.sessions.reconnect_at else []
         self.loop_lag.record_tick(now, self.next_deadline())
-        is_silence_certain = now >= self.loop_lag.grace_until
-        if is_silence_certain and now >= self.sessions.active_expires_at():
+        is_grace_over = now >= self.loop_lag.grace_until
+        if is_grace_over and now >= self.sessions.active_expires_at():
             return self.failover.end_silent_session(now, session)
-        if is_silence_certain:
+        if is_grace_over:
             self.failover.check_standby_timeout(now)
         if now >= session.delayed_until:
             return [self.requests.take_delayed_command(now, session)]
         if session.can_poll and now >= session.next_poll_at:
             return self.requests.poll(now, session)
-        if is_silence_certain and self.failover.is_standby_due(now):
+        if is_grace_over and self.failover.is_standby_due(now):
             return self.failover.open_standby(now)
         return []
 
@@ -160,9 +161,9 @@
     ) -> list[Command]:
         """Handle the response to a session's first read.
 
-        With a known list the watch continues from its revision. Otherwise all is read; so it is from a
-        cluster with another identity, which may be a restored backup. `cluster_id` is 0 if the identity is
-        not known.
+        If a list is known the watch continues from its revision. A snapshot is read if there is no list, or
+        if the cluster's identity has changed, since that cluster may be a restored backup. `cluster_id` is 0
+        if the identity is unknown.
         """
         self.loop_lag.record_event(now)
         session = self.sessions.find(session_id, SessionPhase.CONNECTING)
@@ -177,10 +178,10 @@
     def on_throttled(
         self, now: float, session_id: int, retry_after: float = 0.0, is_watch: bool = False
     ) -> list[Command]:
-        """Handle a request that the member refused because of its load; it is repeated after a backoff.
+        """Handle a request that the member rejected because of its load; it is repeated after a backoff.
 
-        The member asked for a delay of `retry_after` seconds. If the request was the watch, that has ended;
-        the session remains usable.
+        The member asked for a delay of `retry_after` seconds. If `is_watch`, the request was the watch, which
+        has then ended. The session remains usable.
         """
         self.loop_lag.record_event(now)
         if self.sessions.is_standby(session_id):
@@ -194,7 +195,7 @@
     def on_disconnected(
         self, now: float, session_id: int, credentials_rejected: bool = False
     ) -> list[Command]:
-        """Handle a session that broke or did not come up."""
+        """Handle a session that broke or could not be established."""
         return self.failover.on_disconnected(now, session_id, credentials_rejected)
 
     def on_snapshot(
@@ -205,7 +206,7 @@
         revision: int,
         records: Iterable[KeyValuePair],
     ) -> list[Command]:
-        """Handle the response to a full read: key, revision and value of every record as of `revision`."""
+        """Handle the response to a full read, which returned all records as of `revision`."""
         self.loop_lag.record_event(now)
         session = self.sessions.find(session_id, SessionPhase.READING)
         if session is None:
@@ -219,10 +220,9 @@
         revision: int,
         events: Iterable[KeyValueEvent],
     ) -> list[Command]:
-        """Handle events of the watch, or a progress notification if there are none.
+        """Handle events of the watch, or a progress notification if `events` is empty.
 
-        Events are key, revision and value of each change; the value of a deleted key is None. The watch has
-        delivered all events up to `revision`.
+        The watch has delivered all events up to `revision`.
         """
         self.loop_lag.record_event(now)
         session = self.sessions.find(session_id, SessionPhase.WATCHING)
@@ -231,7 +231,7 @@
         return self.synchronizer.apply_events(now, session, revision, events)
 
     def on_revision(self, now: float, session_id: int, requested_at: float, revision: int) -> list[Command]:
-        """Handle the response to a poll, which is the registry's revision."""
+        """Handle the response to a poll, which returned the registry's revision."""
         self.loop_lag.record_event(now)
         session = self.sessions.find(session_id, SessionPhase.WATCHING)
         if session is None:
@@ -239,7 +239,7 @@
         return self.synchronizer.handle_poll_response(now, session, requested_at, revision)
 
     def on_compacted(self, now: float, session_id: int) -> list[Command]:
-        """Handle a watch that cannot continue because the events after its revision were compacted."""
+        """Handle a watch that cannot continue, because the events after its revision were compacted."""
         self.loop_lag.record_event(now)
         session = self.sessions.find(session_id, SessionPhase.WATCHING)
         if session is None:
@@ -249,5 +249,5 @@
         return self.requests.read_snapshot(now, session)
 
     def replace_members(self, now: float, member_count: int) -> list[Command]:
-        """Connect to other members; the list and its revision stay."""
+        """Connect to a new set of members; the list and its revision stay."""
         return self.sessions.replace_members(now, member_count)
