--- a/applevale/discovery/registry/failover.py
+++ b/applevale/discovery/registry/failover.py
@@ -11,11 +11,11 @@
 from .stats import WatcherStats
 from .watched_list import WatchedList
 
-STANDBY_SPEEDUP = 2  # a standby session takes over if it is faster by this factor
+MIN_STANDBY_SPEEDUP = 2  # Factor by which a standby session must be faster to take over.
 
 
 class FailoverController:
-    """Ends sessions that broke or are silent, and compares the standby session with the active one.
+    """Ends sessions that broke or are silent, and decides whether the standby session takes over.
 
     Attributes:
         watched_list: The watched list with its revision; read only.
@@ -24,13 +24,13 @@
     """
 
     def __init__(self, watched_list: WatchedList, sessions: SessionSupervisor, stats: WatcherStats):
-        """Create a controller; all objects are shared with the watcher."""
+        """Create a controller. The watcher and its other parts share all objects."""
         self.watched_list = watched_list
         self.sessions = sessions
         self.stats = stats
 
     def on_disconnected(self, now: float, session_id: int, credentials_rejected: bool) -> list[Command]:
-        """Handle a session that broke or did not come up."""
+        """Handle a session that broke or could not be established."""
         if self.sessions.is_standby(session_id):
             self.sessions.fail_standby(now)
             return []
@@ -43,7 +43,7 @@
         return self.sessions.fail_active(now, credentials_rejected)
 
     def end_silent_session(self, now: float, session: SessionState) -> list[Command]:
-        """End the active session, whose timeout is over."""
+        """End the active session, which has reached its timeout."""
         if session.phase is SessionPhase.CONNECTING:
             self.stats.breaks += 1
         else:
@@ -51,7 +51,7 @@
         return self.sessions.fail_active(now)
 
     def is_standby_due(self, now: float) -> bool:
-        """Return whether the active session has been silent for so long that a standby session is opened."""
+        """Return whether the active session has been silent for long enough to open a standby session."""
         return now >= self.sessions.standby_start_at(self.watched_list.confirmed_at)
 
     def open_standby(self, now: float) -> list[Command]:
@@ -60,7 +60,7 @@
         return self.sessions.open_standby(now)
 
     def check_standby_timeout(self, now: float) -> None:
-        """End a standby session that has been silent for too long."""
+        """End the standby session if it has been silent for too long."""
         if self.sessions.standby is None:
             return
         if now >= self.sessions.standby_expires_at(self.watched_list.confirmed_at):
@@ -74,23 +74,25 @@
     def replace_by_faster_standby(
         self, now: float, standby: SessionState, revision: int, cluster_id: int
     ) -> bool:
-        """Let the standby session take over if the active one has been silent for much longer.
+        """Promote the standby session if the active one has been silent for much longer, or else end it.
+
+        A standby session whose member returns an older revision of the same cluster counts as failed.
 
         Args:
             now: Time of the response to the standby session's handshake.
             standby: The standby session.
-            revision: The registry's revision.
-            cluster_id: Identity of the member's cluster; 0 if it is not known.
+            revision: Revision that the member returned.
+            cluster_id: Identity of the member's cluster; 0 if unknown.
 
         Returns:
-            Whether it is the active session now; otherwise it has ended.
+            Whether the standby session has become the active one.
         """
         is_same_cluster = cluster_id in (0, self.watched_list.cluster_id)
         if revision < self.watched_list.revision and is_same_cluster:
             self.sessions.fail_standby(now)
             return False
         silence = now - self.sessions.active.waiting_since
-        if STANDBY_SPEEDUP * (now - standby.started_at) > silence:
+        if MIN_STANDBY_SPEEDUP * (now - standby.started_at) > silence:
             self.drop_slow_standby()
             return False
         self.stats.stalls += 1
--- a/applevale/discovery/registry/request_scheduler.py
+++ b/applevale/discovery/registry/request_scheduler.py
@@ -1,4 +1,4 @@
-"""Requests of a registry watcher's active session: when each is sent, and when it is repeated.
+"""Scheduling of the requests of a registry watcher's active session, including repetition.
 
 No I/O and no clock: callers pass the time. Times and durations are in seconds.
 """
@@ -13,16 +13,16 @@
 
 
 class RequestScheduler:
-    """Sends requests over the active session, after a backoff where the service is slow or throttles.
+    """Sends requests over the active session, after a backoff if the service is slow or throttles requests.
 
     Attributes:
         watched_list: The watched list with its revision; read only.
-        pacer: Polls and backoff.
+        pacer: Timing of polls and backoff.
         stats: Numbers of events.
     """
 
     def __init__(self, watched_list: WatchedList, pacer: RequestPacer, stats: WatcherStats):
-        """Create a scheduler; all objects are shared with the watcher."""
+        """Create a scheduler. The watcher and its other parts share all objects."""
         self.watched_list = watched_list
         self.pacer = pacer
         self.stats = stats
@@ -33,7 +33,7 @@
         return [PollRevision(session.session_id, now)]
 
     def read_snapshot(self, now: float, session: SessionState) -> list[Command]:
-        """Read all records, after a delay if the service is slow or throttles."""
+        """Read all records, after a delay if the service is slow or throttles requests."""
         session.phase = SessionPhase.READING
         session.last_progress_at = now
         session.cancel_poll()
@@ -45,16 +45,16 @@
         return []
 
     def take_delayed_command(self, now: float, session: SessionState) -> Command:
-        """Return the delayed command of a session, whose backoff is over."""
+        """Return the delayed command of a session at the end of its backoff."""
         command = session.take_delayed_command()
-        if isinstance(command, Watch):  # the list may have advanced during the backoff
+        if isinstance(command, Watch):  # The list may have advanced during the backoff.
             return self._watch(session)
         session.started_at = now
         session.last_progress_at = now
         return command
 
     def repeat_throttled(self, now: float, session: SessionState, retry_after: float, is_watch: bool) -> None:
-        """Schedule a request anew that the member throttled.
+        """Schedule the repetition of a request that the member throttled.
 
         Args:
             now: Time of the response.
--- a/applevale/discovery/registry/watched_list.py
+++ b/applevale/discovery/registry/watched_list.py
@@ -15,10 +15,10 @@
     """Result of applying the events of a watch.
 
     Attributes:
-        last_revision: Revision of the last event that was applied, or that of the list.
+        last_revision: Revision of the last event that was applied; that of the list if there was none.
         entries: The entries that changed.
         duplicates: Number of events that were ignored because the list already contained them.
-        in_order: False if a revision was lower than the one before it; the rest of the events was dropped.
+        in_order: Whether the revisions never decreased; otherwise the remaining events were dropped.
     """
 
     last_revision: int
@@ -31,16 +31,16 @@
 class WatchedList:
     """The entries of the registry as of one revision.
 
-    The revision decreases only when a snapshot of a restored registry is taken over.
+    The revision decreases only if a snapshot of a restored registry replaces the list.
 
     Attributes:
         table: The entries by key.
         revision: Revision up to which the list is complete; 0 before the first snapshot.
-        confirmed_at: Time of a request whose response showed that the list was complete. It is
-            never the time of the response, which may have been delayed.
-        cluster_id: Identity of the cluster that the revisions belong to; 0 if unknown.
-        cluster_changed: Whether the active session's member belongs to another cluster, with
-            revisions of its own.
+        confirmed_at: Time of the latest request whose response showed that the list was complete.
+            The time of the response is not used, since the response may have been delayed.
+        cluster_id: Identity of the cluster whose revisions these are; 0 if unknown.
+        cluster_changed: Whether the active session's member belongs to another cluster than the
+            list, so that its revisions cannot be compared.
         snapshot_required: Whether a watch cannot continue from `revision`.
     """
 
@@ -57,14 +57,14 @@
         return bool(self.revision) and not self.snapshot_required
 
     def restore(self, revision: int, records: Iterable[KeyValuePair]) -> tuple[TableEntry, ...]:
-        """Take over a stored list, which is not confirmed; return its entries."""
+        """Replace the list by a stored one, which is not confirmed; return its entries."""
         self.revision = revision
         return self.table.replace(records)
 
     def replace(
         self, revision: int, requested_at: float, records: Iterable[KeyValuePair]
     ) -> tuple[TableEntry, ...]:
-        """Take over a snapshot requested at `requested_at`; return its entries."""
+        """Replace the list by a snapshot that was requested at `requested_at`; return its entries."""
         self.cluster_changed = False
         self.snapshot_required = False
         self.revision = revision
@@ -72,7 +72,7 @@
         return self.table.replace(records)
 
     def apply(self, events: Iterable[KeyValueEvent]) -> AppliedEvents:
-        """Apply the events of a watch up to the first that is out of order. `revision` stays as it is."""
+        """Apply the events of a watch up to the first one out of order, without advancing `revision`."""
         applied = AppliedEvents(self.revision)
         for key, revision, value in events:
             if revision <= self.revision:
@@ -90,9 +90,9 @@
         self.confirmed_at = max(self.confirmed_at, requested_at)
 
     def record_cluster(self, cluster_id: int) -> None:
-        """Record the cluster that the active session's member belongs to; 0 if it is not known.
+        """Record the cluster of the active session's member; 0 if unknown.
 
-        A snapshot is required from another cluster, which may be a backup that was restored.
+        If the cluster has changed, it may be a restored backup, and a snapshot is required.
         """
         self.cluster_changed = bool(cluster_id and self.cluster_id and cluster_id != self.cluster_id)
         if self.cluster_changed:
