--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -1,4 +1,4 @@
-"""Reports when the list turns stale or fresh, and when the bound of its staleness can't be kept."""
+"""Reporting of the list's freshness and of the staleness guarantee, in the log and in counters."""
 
 from __future__ import annotations
 
@@ -11,12 +11,21 @@
 
 
 class FreshnessReporter:
-    """Compares the watcher's freshness with what was reported last, and reports each transition once."""
+    """Reports each change of the watcher's freshness and of its staleness guarantee once.
+
+    Attributes:
+        watcher: The watcher whose state is reported.
+        counters: Receives how often and for how long the list was stale.
+        on_change: Called with whether the list is fresh, after each change.
+        was_fresh: Whether the list was fresh at the last report.
+        stale_since: Time since which the list has been stale.
+        reported_state: State of the staleness guard at the last report.
+    """
 
     def __init__(
         self, watcher: RegistryWatcher, counters: Counters, on_change: Callable[[bool], None], now: float
     ):
-        """`on_change` is called with whether the list is fresh, when that has changed."""
+        """Create a reporter for a list that is stale since `now`; see the class for the other parameters."""
         self.watcher = watcher
         self.counters = counters
         self.on_change = on_change
@@ -25,15 +34,15 @@
         self.reported_state = watcher.pacer.guard.state
 
     def start(self, now: float) -> None:
-        """Count the time for which the list is stale from `now` on."""
+        """Measure from `now` on how long the list is stale."""
         self.stale_since = now
 
     def update(self, now: float, on_stale: str) -> bool:
-        """Report what has changed, and return whether the list is fresh.
+        """Report what has changed since the last call, and return whether the list is fresh.
 
         Args:
-            now: The time, in s.
-            on_stale: The setting of this name, for the texts.
+            now: Current time, in s.
+            on_stale: Value of the setting `on_stale`, which log lines mention.
         """
         is_fresh = self.watcher.is_fresh(now)
         if self.watcher.pacer.guard.state is not self.reported_state:
@@ -48,22 +57,22 @@
         return is_fresh
 
     def _report_guarantee(self, on_stale: str) -> None:
-        """Log with figures that the bound can't be kept, or that it is kept again."""
+        """Log that the staleness bound cannot be kept, and why, or that it is kept again."""
         watcher = self.watcher
-        former_state = self.reported_state
+        previous_state = self.reported_state
         self.reported_state = watcher.pacer.guard.state
         bound = watcher.config.max_staleness
-        if former_state is GuardState.ACTIVE:
+        if previous_state is GuardState.ACTIVE:
             poll_rate = 1 / (watcher.config.max_poll_interval_share * bound)
             log_event(
                 "promise",
-                f"{bound:g} s cannot be kept: it needs {poll_rate:.1f} reads a second, "
-                f"answered within {watcher.pacer.guard.response_budget * 1000:.0f} ms; they take "
-                f"{watcher.pacer.latency.mean * 1000:.0f} ms, {watcher.stats.declined} were refused so far. "
-                f"on_stale is {on_stale!r} until it can",
+                f"the staleness bound of {bound:g} s cannot be kept: it needs {poll_rate:.1f} reads a second "
+                f"with responses within {watcher.pacer.guard.response_budget * 1000:.0f} ms; the mean latency "
+                f"is {watcher.pacer.latency.mean * 1000:.0f} ms, and {watcher.stats.declined} requests were "
+                f"throttled so far; on_stale={on_stale!r} applies until it can be kept",
             )
         elif self.reported_state is GuardState.ACTIVE:
-            log_event("promise", f"{bound:g} s is kept again")
+            log_event("promise", f"the staleness bound of {bound:g} s is kept again")
 
     def _report_fresh(self, now: float) -> None:
         stale_seconds = now - self.stale_since
