--- a/applevale/discovery/registry/commands.py
+++ b/applevale/discovery/registry/commands.py
@@ -1,4 +1,4 @@
-"""Commands that a registry watcher returns and its driver carries out.
+"""Commands that a registry watcher returns and its driver executes.
 
 A session is a connection to one member of the registry. Sessions are identified by a number that is unique
 within one watcher. Times are in seconds on the driver's monotonic clock.
@@ -15,11 +15,11 @@
 class Connect:
     """Open a session with one member.
 
-    Every session that is not in `RegistryWatcher.open_sessions` has ended and is to be closed.
+    No command closes a session: each one missing from `RegistryWatcher.open_sessions` has to be closed.
 
     Attributes:
         session_id: Number of the new session.
-        member_index: Position of the member in the list of addresses.
+        member_index: Index of the member in the list of addresses.
     """
 
     session_id: int
@@ -54,7 +54,7 @@
 
     Attributes:
         session_id: Number of the session.
-        start_revision: First revision whose changes are wanted.
+        start_revision: First revision whose changes are delivered.
     """
 
     session_id: int
@@ -67,7 +67,7 @@
 
     Attributes:
         session_id: Number of the session.
-        sent_at: Time of the request, to be returned with the response.
+        sent_at: Time of the request, which is passed back with the response.
     """
 
     session_id: int
--- a/applevale/discovery/registry/consul.py
+++ b/applevale/discovery/registry/consul.py
@@ -102,9 +102,9 @@
         """Read all keys with their values."""
         self.spawn(self._read_all())
 
-    def watch(self, start_revision: int, read_known: Callable[[], PairsByKey]) -> None:
+    def watch(self, start_revision: int, read_known_pairs: Callable[[], PairsByKey]) -> None:
         """Watch by blocking reads that begin behind `start_revision`."""
-        self.pairs = self.pairs or read_known()
+        self.pairs = self.pairs or read_known_pairs()
         self.spawn(self._watch(start_revision - 1))
 
     def poll_revision(self, requested_at: float) -> None:
--- a/applevale/discovery/registry/etcd.py
+++ b/applevale/discovery/registry/etcd.py
@@ -80,7 +80,7 @@
         """Read all keys with their values."""
         self.spawn(self._read_all())
 
-    def watch(self, start_revision: int, read_known: Callable[[], PairsByKey]) -> None:
+    def watch(self, start_revision: int, read_known_pairs: Callable[[], PairsByKey]) -> None:
         """Watch all changes from `start_revision` on; what is known is of no use here."""
         self.spawn(self._watch(start_revision))
 
--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -67,7 +67,7 @@
             log_event(
                 "promise",
                 f"the staleness bound of {bound:g} s cannot be kept: it needs {poll_rate:.1f} reads a second "
-                f"with responses within {watcher.pacer.guard.response_budget * 1000:.0f} ms; the mean latency "
+                f"with responses in {watcher.pacer.guard.response_budget * 1000:.0f} ms; the mean latency "
                 f"is {watcher.pacer.latency.mean * 1000:.0f} ms, and {watcher.stats.declined} requests were "
                 f"throttled so far; on_stale={on_stale!r} applies until it can be kept",
             )
--- a/applevale/discovery/registry/key_values.py
+++ b/applevale/discovery/registry/key_values.py
@@ -1,6 +1,6 @@
-"""Keys of a registry with their values, as sessions read and watch them.
+"""Types for the keys of a registry and their values.
 
-The types are tuples, so that a snapshot stores a pair as the array `[key, revision, value]`.
+They are tuples, because a stored snapshot holds each pair as an array `[key, revision, value]`.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class KeyValuePair(NamedTuple):
-    """A key that exists, with its value and the revision that wrote it."""
+    """An existing key with its value and the revision at which it was last written."""
 
     key: str
     revision: int
@@ -17,7 +17,7 @@
 
 
 class KeyValueEvent(NamedTuple):
-    """A change of one key at a revision; the value of a deleted key is None."""
+    """A change of one key at a revision; the value is None if the key was deleted."""
 
     key: str
     revision: int
--- a/applevale/discovery/registry/session.py
+++ b/applevale/discovery/registry/session.py
@@ -1,4 +1,4 @@
-"""A session with one member of a registry, as the source sees it whatever protocol it uses."""
+"""Interface of a session with one member of a registry, independent of the protocol."""
 
 from __future__ import annotations
 
@@ -13,69 +13,69 @@
 from .key_values import KeyValueEvent, KeyValuePair, PairsByKey
 from .settings import RegistrySettings
 
-MAX_MESSAGE_BYTES = 8 << 20  # of one message of a member: a larger one is not read into memory
+MAX_MESSAGE_BYTES = 8 << 20  # Larger messages of a member are not read into memory.
 MAX_REASON_LENGTH = 80
 
 
 class AuthenticationError(Exception):
-    """The member rejects the credentials."""
+    """The member rejected the credentials."""
 
 
 class ThrottledError(Exception):
-    """The member rejects a request because of its load; the session remains usable.
+    """The member rejected a request because of its load; the session remains usable.
 
     Attributes:
-        retry_after: The delay that the member asks for, in s.
+        retry_after: Delay that the member asked for, in s.
         is_watch: Whether the request was the watch.
     """
 
     def __init__(self, retry_after: float = 0.0, is_watch: bool = False):
-        """Build the error of one request."""
-        super().__init__("the member is throttling")
+        """Create the error for one request."""
+        super().__init__("the member throttled the request")
         self.retry_after = retry_after
         self.is_watch = is_watch
 
 
 class SessionListener(Protocol):
-    """Receives what happens in sessions.
+    """Receives the responses and the end of sessions.
 
-    `session_id` identifies the session; `requested_at` is when the request left that is answered, in s by the
-    clock that the session was constructed with.
+    `session_id` identifies the session. `requested_at` is the time at which the request of a response was
+    sent, in s on the clock that the session was created with.
     """
 
     def on_connected(self, session_id: int, requested_at: float, revision: int, cluster_id: int = 0) -> None:
-        """Handle the first response of a session; `cluster_id` is 0 if it is not known."""
+        """Handle the first response of a session; `cluster_id` is 0 if unknown."""
 
     def on_throttled(self, session_id: int, retry_after: float, is_watch: bool) -> None:
         """Handle a request that was rejected because of the member's load."""
 
     def on_disconnected(self, session_id: int, reason: str, credentials_rejected: bool = False) -> None:
-        """Handle the end of a session, which is reported once."""
+        """Handle the failure of a session, which ends it."""
 
     def on_snapshot(
         self, session_id: int, requested_at: float, revision: int, records: Iterable[KeyValuePair]
     ) -> None:
-        """Handle all keys as of one revision."""
+        """Handle a full read, which returned all keys as of `revision`."""
 
     def on_events(self, session_id: int, revision: int, events: Iterable[KeyValueEvent]) -> None:
-        """Handle what the watch delivers; it has delivered all up to `revision`."""
+        """Handle events of the watch, which has delivered all changes up to `revision`."""
 
     def on_revision(self, session_id: int, requested_at: float, revision: int) -> None:
-        """Handle the response to a poll of the registry's revision."""
+        """Handle the response to a poll, which returned the registry's revision."""
 
     def on_compacted(self, session_id: int) -> None:
-        """Handle a watch whose next events are no longer stored."""
+        """Handle a watch that ended because its next events were compacted."""
 
 
 @dataclass(frozen=True)
 class SessionTarget:
-    """The member that a session connects to, and how.
+    """The member that a session connects to, with the parameters of the connection.
 
     Attributes:
         address: Host and port of the member.
-        settings: The registry's prefix and credentials.
-        ssl_context: The context for TLS; None for plain TCP.
-        local_address: The address that connections bind; empty for the system's choice.
+        settings: Settings with the key prefix and the credentials.
+        ssl_context: Context for TLS; None for plain TCP.
+        local_address: Local address that connections bind to; empty to let the system choose.
     """
 
     address: Address
@@ -85,9 +85,10 @@
 
 
 class Session(ABC):
-    """The tasks of one session; the first that fails ends it, and is reported once.
+    """A session with one member, which runs its requests as asyncio tasks.
 
-    Requests return at once; their responses go to the listener.
+    Request methods return immediately, and the listener receives the responses. A request that fails for
+    another reason than throttling is reported to the listener as the end of the session.
     """
 
     def __init__(
@@ -97,13 +98,13 @@
         listener: SessionListener,
         clock: Callable[[], float],
     ):
-        """Build a session that `handshake` connects.
+        """Create a session; `handshake` opens its connection.
 
         Args:
             session_id: Identifies the session to the listener.
             target: The member to connect to.
-            listener: Receives all responses, and the end of the session.
-            clock: A monotonic clock, in s.
+            listener: Receives all responses and the end of the session.
+            clock: Monotonic clock, in s.
         """
         self.session_id = session_id
         self.target = target
@@ -119,7 +120,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _guard(self, work: Coroutine[object, object, None]) -> None:
-        """Stop all errors here, whatever a library raises on what a member sent."""
+        """Report every error to the listener, since libraries may raise any error on invalid input."""
         try:
             await work
         except ThrottledError as error:
@@ -135,7 +136,7 @@
             self.listener.on_disconnected(self.session_id, reason, credentials_rejected)
 
     async def close(self) -> None:
-        """End all tasks and the connection; the listener is not called again for this session."""
+        """Cancel all tasks and close the connection; the listener is not called for this session again."""
         self.is_closed = True
         tasks = [task for task in self.tasks if task is not asyncio.current_task()]
         for task in tasks:
@@ -149,20 +150,25 @@
 
     @abstractmethod
     def handshake(self) -> None:
-        """Connect, log in and read the registry's revision; may be repeated once it was throttled."""
+        """Connect, log in and read the registry's revision; may be called again after throttling."""
 
     @abstractmethod
     def read_all(self) -> None:
         """Read all keys with their values."""
 
     @abstractmethod
-    def watch(self, start_revision: int, read_known: Callable[[], PairsByKey]) -> None:
-        """Watch all changes from `start_revision` on; `read_known` returns the list that they change."""
+    def watch(self, start_revision: int, read_known_pairs: Callable[[], PairsByKey]) -> None:
+        """Watch all changes from `start_revision` on.
+
+        Args:
+            start_revision: First revision whose changes are delivered.
+            read_known_pairs: Returns the list to which the changes apply.
+        """
 
     @abstractmethod
     def poll_revision(self, requested_at: float) -> None:
-        """Read the registry's present revision."""
+        """Read the registry's current revision."""
 
     @abstractmethod
     def request_progress(self) -> None:
-        """Ask up to which revision the watch has delivered all events."""
+        """Request a notification of the revision up to which the watch has delivered all events."""
