--- a/applevale/discovery/registry/watcher_driver.py
+++ b/applevale/discovery/registry/watcher_driver.py
@@ -1,4 +1,4 @@
-"""Runs a registry watcher: sessions and a timer in, commands carried out."""
+"""Driver of a registry watcher: reports events and timers to it, and executes its commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 def create_watcher(
     settings: RegistrySettings, table: EndpointTable, member_count: int, seed: int
 ) -> RegistryWatcher:
-    """Return the watcher of a registry; instances with different seeds begin with different members."""
+    """Create the watcher of a registry.
+
+    The first member is random, so that instances with different seeds spread over the members.
+    """
     random = Random(seed)
     return RegistryWatcher(
         member_count,
@@ -32,14 +35,14 @@
 
 
 class WatcherDriver:
-    """Reports sessions' responses and the time to a watcher, and carries out its commands.
+    """Reports responses of sessions and the time to a watcher, and executes its commands.
 
     It is the `SessionListener` of its sessions.
 
     Attributes:
-        table: The list that the watcher keeps.
-        sessions: The open sessions.
-        watcher: The state machine that decides what to request.
+        table: List that the watcher keeps up to date.
+        sessions: Open sessions.
+        watcher: State machine that decides what to request.
     """
 
     def __init__(
@@ -54,21 +57,21 @@
         on_publish: Callable[[Publish], None],
         on_commands_executed: Callable[[float], float],
     ):
-        """Create a driver without sessions; `start` opens one.
+        """Create a driver without sessions; `start` opens the first one.
 
         Args:
-            settings: The registry's settings.
-            table: The list that the watcher keeps.
-            session_class: The class for the kind of registry.
-            seed: Seeds all random delays.
-            clock: A monotonic clock, in s.
-            local_address: The address that connections bind; empty for the system's choice.
+            settings: Settings of the registry.
+            table: List that the watcher keeps up to date.
+            session_class: Class for the kind of registry.
+            seed: Seed of all random delays and of the choice of the first member.
+            clock: Monotonic clock, in s.
+            local_address: Local address that connections bind to; empty to let the system choose.
             on_publish: Called with each change of the list, once and in order.
-            on_commands_executed: Called with the time after each event; returns the time at which it has to
-                be called again at the latest.
+            on_commands_executed: Called with the current time after each event. Returns the time by which it
+                has to be called again.
 
         Raises:
-            RegistrySettingsError: The addresses or the TLS files can't be used.
+            RegistrySettingsError: The addresses or the TLS files are invalid.
         """
         self.table = table
         self.sessions = SessionPool(settings, session_class, self, clock, local_address)
@@ -88,7 +91,7 @@
         self._execute(self.watcher.restore(revision, records))
 
     def replace_members(self) -> None:
-        """Connect to the members that the pool has been configured with."""
+        """Connect to the members with which the pool has been configured."""
         self._execute(self.watcher.replace_members(self._clock(), len(self.sessions.addresses)))
 
     async def stop(self) -> None:
@@ -98,7 +101,7 @@
             self._timer.cancel()
         await self.sessions.close()
 
-    # --- The listener of sessions ---
+    # --- Methods of SessionListener ---
 
     def on_connected(self, session_id: int, requested_at: float, revision: int, cluster_id: int = 0) -> None:
         """Handle the first response of a session."""
@@ -110,7 +113,7 @@
         self._execute(self.watcher.on_throttled(self._clock(), session_id, retry_after, is_watch))
 
     def on_disconnected(self, session_id: int, reason: str, credentials_rejected: bool = False) -> None:
-        """Handle the end of a session."""
+        """Log and handle the failure of a session."""
         if session_id in self.sessions:
             log_event("registry", f"{self.sessions.member_name(session_id)}: {reason}")
         self._execute(self.watcher.on_disconnected(self._clock(), session_id, credentials_rejected))
@@ -118,11 +121,11 @@
     def on_snapshot(
         self, session_id: int, requested_at: float, revision: int, records: Iterable[KeyValuePair]
     ) -> None:
-        """Handle all keys as of one revision."""
+        """Handle a full read, which returned all keys as of `revision`."""
         self._execute(self.watcher.on_snapshot(self._clock(), session_id, requested_at, revision, records))
 
     def on_events(self, session_id: int, revision: int, events: Iterable[KeyValueEvent]) -> None:
-        """Handle what a watch delivers."""
+        """Handle events of a watch."""
         self._execute(self.watcher.on_events(self._clock(), session_id, revision, events))
 
     def on_revision(self, session_id: int, requested_at: float, revision: int) -> None:
@@ -130,14 +133,18 @@
         self._execute(self.watcher.on_revision(self._clock(), session_id, requested_at, revision))
 
     def on_compacted(self, session_id: int) -> None:
-        """Handle a watch whose next events are no longer stored."""
+        """Log and handle a watch that ended because its next events were compacted."""
         member = self.sessions.member_name(session_id)
-        log_event("registry", f"{member}: compacted behind {self.watcher.revision}, all is read anew")
+        log_event(
+            "registry",
+            f"{member}: revisions after {self.watcher.revision} were compacted; reading a full snapshot",
+        )
         self._execute(self.watcher.on_compacted(self._clock(), session_id))
 
     # --- Execution of the watcher's commands ---
 
     def _execute(self, commands: list[Command]) -> None:
+        """Execute commands, close ended sessions and set the timer; do nothing once stopped."""
         if self._is_stopped:
             return
         for command in commands:
