--- a/applevale/discovery/registry/__init__.py
+++ b/applevale/discovery/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The engine list out of a key-value registry: records, the watcher that decides, and two protocols."""
+"""Engine list from a key-value registry: record format, watcher, and sessions for etcd and Consul."""
--- a/applevale/discovery/registry/source.py
+++ b/applevale/discovery/registry/source.py
@@ -1,4 +1,4 @@
-"""The registry as a source of the list of engines."""
+"""Source of the engine list that watches a registry."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from .watcher import RegistryWatcher
 from .watcher_driver import WatcherDriver
 
-FIXED_SETTINGS = ("kind", "prefix", "fresh", "snapshot")  # those that a reload can't change
-STALENESS_CHECK_MARGIN_SECONDS = 0.001  # behind the time at which the list turns stale
+FIXED_SETTINGS = ("kind", "prefix", "fresh", "snapshot")  # A reload cannot change these.
+STALENESS_CHECK_MARGIN_SECONDS = 0.001  # Delay of the check after the list turns stale.
 
 
 def load_session_class(kind: str) -> type[Session]:
-    """Return the class for a kind of registry.
+    """Return the session class for a kind of registry.
 
-    Only its own library is imported: each costs time and memory at the start.
+    Only the library of that kind is imported, since each costs time and memory at the start.
     """
     if kind == "etcd":
         from .etcd import EtcdSession
@@ -43,13 +43,13 @@
     """An `EndpointSource` that watches a registry.
 
     Attributes:
-        settings: The registry's settings.
-        counters: Counts what happens.
-        table: The list as the registry has it.
-        driver: What carries out the watcher's commands.
-        freshness: What reports when the list turns stale or fresh.
-        snapshots: What saves the list; None without a usable snapshot directory.
-        update_count: Number of the last update that was published.
+        settings: Settings of the registry.
+        counters: Counters of the process, of which the source sets `registry_...`.
+        table: Engine list as stored in the registry.
+        driver: Executes the commands of the watcher.
+        freshness: Reports when the list turns stale or fresh.
+        snapshots: Saves the list; None without a usable snapshot directory.
+        update_count: Number of updates published so far.
     """
 
     def __init__(
@@ -63,14 +63,20 @@
         clock: Callable[[], float] = time.monotonic,
         local_address: str = "",
     ):
-        """Build the source; nothing is requested before `start`.
-
-        `publish` is called with each update, once and in order, and `on_freshness_change` with whether the
-        list is confirmed, when that has changed. `names` are those that records use for zones and kinds;
-        the other parameters are those of `WatcherDriver`.
+        """Create the source; it sends no request before `start`.
+
+        Args:
+            settings: Settings of the registry.
+            names: Names of zones and machine kinds that records may use.
+            counters: Counters of the process.
+            publish: Called with each update, once and in order.
+            on_freshness_change: Called with whether the list is fresh, after each change.
+            seed: Seed of all random delays and of the choice of the first member.
+            clock: Monotonic clock, in s.
+            local_address: Local address that connections bind to; empty to let the system choose.
 
         Raises:
-            RegistrySettingsError: The addresses or the TLS files can't be used.
+            RegistrySettingsError: The addresses or the TLS files are invalid.
         """
         self.settings = settings
         self.counters = counters
@@ -94,13 +100,13 @@
 
     @property
     def watcher(self) -> RegistryWatcher:
-        """The state machine that decides what to request."""
+        """State machine that decides what to request."""
         return self.driver.watcher
 
-    # --- The interface of a source ---
+    # --- Methods of EndpointSource ---
 
     def start(self) -> None:
-        """Start from the snapshot, if there is one, and connect."""
+        """Publish the stored snapshot, if there is one, and connect."""
         now = self._clock()
         self.freshness.start(now)
         if self.settings.snapshot:
@@ -108,18 +114,23 @@
         self.driver.start(now)
 
     def is_fresh(self) -> bool:
-        """Return whether the list is confirmed as of now; true also after an event loop that stood still."""
+        """Return whether the list is fresh.
+
+        The clock is read anew, so that the result is correct even after a stall of the event loop.
+        """
         return self.watcher.is_fresh(self._clock())
 
     def may_start_work(self) -> bool:
-        """Return whether new work may be sent to listed engines."""
+        """Return whether new requests may be sent to listed engines."""
         return self.settings.on_stale == "serve" or self.is_fresh()
 
     def reconfigure(self, target: RegistrySettings) -> None:
-        """Use other addresses and credentials; the list, its revision and its freshness stay.
+        """Replace the addresses, the credentials and other settings that are not fixed.
+
+        The list, its revision and its freshness stay.
 
         Raises:
-            RegistrySettingsError: The addresses or the TLS files can't be used; nothing has changed.
+            RegistrySettingsError: The addresses or the TLS files are invalid; nothing has changed.
         """
         fixed = {key: getattr(self.settings, key) for key in FIXED_SETTINGS}
         changed = [key for key, value in fixed.items() if getattr(target, key) != value]
@@ -131,7 +142,7 @@
         self.driver.replace_members()
 
     def update_list_counters(self) -> None:
-        """Set the counters that describe the list, which are worked out only when they are wanted."""
+        """Set the counters that describe the list, which are computed on demand only."""
         self._source_counters.update_list()
 
     async def stop(self) -> None:
@@ -141,7 +152,7 @@
             self.snapshots.save(self._clock(), self.watcher.revision)
             self.snapshots.store.close()
 
-    # --- Events of the driver ---
+    # --- Callbacks of the driver ---
 
     def _publish(self, change: Publish) -> None:
         self.update_count += 1
@@ -151,7 +162,11 @@
         self._publish_update(EndpointUpdate(self.update_count, change.is_snapshot, endpoints))
 
     def _refresh(self, now: float) -> float:
-        """Update counters, freshness and the snapshot; return when the list turns stale at the earliest."""
+        """Update counters, freshness and the stored snapshot.
+
+        Returns:
+            The time by which freshness has to be checked again; infinite while the list is stale.
+        """
         self._source_counters.update_events()
         is_fresh = self.freshness.update(now, self.settings.on_stale)
         if not is_fresh:
@@ -161,7 +176,7 @@
         return self.watcher.confirmed_at + self.settings.fresh + STALENESS_CHECK_MARGIN_SECONDS
 
     def _load_snapshot(self) -> None:
-        """Publish the list of the snapshot, which is not confirmed."""
+        """Publish the list of the stored snapshot, which is not confirmed."""
         registry = f"{self.settings.kind}:{self.settings.prefix}"
         try:
             store = SnapshotStore(self.settings.snapshot, registry)
@@ -169,9 +184,12 @@
             stored = store.load()
         except SnapshotError as error:
             self.counters["registry_snapshot_bad"] += 1
-            log_event("registry", f"the snapshot is ignored: {error}")
+            log_event("registry", f"the stored snapshot is ignored: {error}")
             return
         if stored is not None:
             self.counters["registry_snapshot_used"] += 1
-            log_event("registry", f"starts from the snapshot of revision {stored.revision}, not confirmed")
+            log_event(
+                "registry",
+                f"starting from the stored snapshot of revision {stored.revision}, which is not confirmed",
+            )
             self.driver.restore(stored.revision, stored.records)
--- a/applevale/discovery/registry/source_counters.py
+++ b/applevale/discovery/registry/source_counters.py
@@ -8,22 +8,28 @@
 
 
 class SourceCounters:
-    """Sets the counters `registry_...` to what a watcher and its list hold."""
+    """Sets the counters `registry_...` from the state of a watcher and its list."""
 
     def __init__(self, counters: Counters, watcher: RegistryWatcher, table: EndpointTable):
-        """Create it for `counters`; nothing is set yet."""
+        """Prepare to set counters; none is set yet.
+
+        Args:
+            counters: Counters of the process.
+            watcher: Watcher whose statistics are copied.
+            table: List that the watcher keeps up to date.
+        """
         self._counters = counters
         self._watcher = watcher
         self._table = table
 
     def update_events(self) -> None:
-        """Set the numbers of the watcher's events and of the records that could not be used."""
+        """Set the counters of the watcher's events and of invalid records."""
         for name, count in vars(self._watcher.stats).items():
             self._counters[f"registry_{name}"] = count
         self._counters["registry_bad_records"] = self._table.invalid_count
 
     def update_list(self) -> None:
-        """Set the counters that describe the list, which are worked out only when they are wanted."""
+        """Set the counters that describe the list, which are computed on demand only."""
         endpoints = self._table.endpoints()
         self._counters["registry_revision"] = self._watcher.revision
         self._counters["registry_members"] = len(endpoints)
--- a/applevale/discovery/registry/stats.py
+++ b/applevale/discovery/registry/stats.py
@@ -7,17 +7,17 @@
 
 @dataclass
 class WatcherStats:
-    """Numbers of events since the start. The field names are the ends of the counters `registry_...`.
+    """Counts of events since the start. Each field is exported as the counter `registry_NAME`.
 
     Attributes:
-        full_reads: Snapshots that were taken over.
+        full_reads: Snapshots that replaced the list.
         resumes: Sessions that continued an earlier session's list.
-        breaks: Sessions that broke or did not come up.
+        breaks: Sessions that broke or could not be established.
         stalls: Sessions that ended because they were silent.
         compactions: Watches that could not continue because their revisions were compacted.
-        lagging: Sessions that ended because the member returned an older state.
-        restored: Snapshots of a restored registry.
-        refused: Sessions that ended because credentials were rejected.
+        lagging: Sessions that ended because their member returned an older state.
+        restored: Snapshots that showed that the registry had been restored.
+        refused: Sessions that ended because their credentials were rejected.
         duplicates: Events that were delivered again.
         gaps: Watches that delivered events out of order.
         declined: Throttled requests.
--- a/applevale/discovery/registry/tls.py
+++ b/applevale/discovery/registry/tls.py
@@ -1,4 +1,4 @@
-"""TLS of the connections to a registry."""
+"""TLS for connections to a registry."""
 
 from __future__ import annotations
 
@@ -8,10 +8,14 @@
 
 
 def create_ssl_context(tls: TlsSettings | None, alpn_protocol: str) -> ssl.SSLContext | None:
-    """Return the context for a client's connections; None for plain TCP.
+    """Return the SSL context for client connections; None for plain TCP.
+
+    Args:
+        tls: Paths of the certificates; None for plain TCP.
+        alpn_protocol: Application protocol to negotiate, as ALPN names it.
 
     Raises:
-        RegistrySettingsError: A file can't be used.
+        RegistrySettingsError: A file cannot be read or is invalid.
     """
     if tls is None:
         return None
