--- a/applevale/discovery/registry/endpoint_table.py
+++ b/applevale/discovery/registry/endpoint_table.py
@@ -1,10 +1,10 @@
-"""The list of engines that the records under a registry's keys make.
+"""The engine list, derived from the records of a registry.
 
 Invariants:
 
-- A value that can't be used changes nothing: its key keeps the last good record, and it is counted.
-- An engine stays listed until its key is deleted, or has a record of another engine.
-- An engine that has records under two keys is listed as the one with the later revision describes it.
+- An invalid value does not change the list: its key keeps the last valid record. Invalid values are counted.
+- An engine stays listed until its key is deleted or holds a record of another engine.
+- If several keys hold a record of the same engine, the one with the highest revision is listed.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True)
 class TableEntry:
-    """One engine as a key describes it.
+    """The valid record of one key.
 
     Attributes:
-        key: The key.
-        revision: The revision that wrote the key last.
-        endpoint: The engine.
-        value: The record that describes it; it may be older than the revision.
+        key: Key in the registry.
+        revision: Revision at which the key was last written.
+        endpoint: Engine that the record describes.
+        value: Encoded record. It is older than `revision` if an invalid value was written after it.
     """
 
     key: str
@@ -37,43 +37,44 @@
 
 
 class EndpointTable:
-    """The engines by key.
+    """Engines by the keys of their records.
 
     Attributes:
-        entries: The last good record of each key.
-        invalid: Keys whose present value can't be used, and why.
-        invalid_count: How many values could not be used so far.
+        names: Names of zones and machine kinds that records may use.
+        entries: Last valid record of each key.
+        invalid: Reason why the current value is invalid, by key.
+        invalid_count: Number of invalid values so far.
     """
 
     def __init__(self, names: AttributeNames):
-        """Build an empty table; `names` are those that records use."""
+        """Create an empty table; `names` are those that records may use."""
         self.names = names
         self.entries: dict[str, TableEntry] = {}
         self.invalid: dict[str, str] = {}
         self.invalid_count = 0
-        self._listed_key: dict[int, str] = {}  # engine -> the key that it is listed by
-        self._record_keys: dict[int, set[str]] = {}  # engine -> all keys with a record of it
+        self._listed_key: dict[int, str] = {}  # Key of the record that is listed, by engine.
+        self._record_keys: dict[int, set[str]] = {}  # All keys that hold a record, by engine.
 
     def endpoints(self) -> tuple[Endpoint, ...]:
         """Return all listed engines."""
         return tuple(entry.endpoint for entry in self._listed_entries())
 
     def pairs(self) -> list[KeyValuePair]:
-        """Return all keys with their last good record."""
+        """Return all keys with their last valid record."""
         return [KeyValuePair(entry.key, entry.revision, entry.value) for entry in self.entries.values()]
 
     def known_pairs(self) -> PairsByKey:
-        """Return the list by key; keys whose value can't be used have revision 0 and no value."""
+        """Return the last valid record by key; keys that never had one have revision 0 and no value."""
         pairs = {key: KeyValuePair(key, 0, b"") for key in self.invalid}
         for pair in self.pairs():
             pairs[pair.key] = pair
         return pairs
 
     def put(self, key: str, revision: int, value: bytes | None) -> list[TableEntry]:
-        """Change one key as of `revision`, or delete it if `value` is None.
+        """Set one key as of `revision`, or delete it if `value` is None.
 
         Returns:
-            The engines that are listed otherwise from now on.
+            The entries of engines whose listing has changed; a removed engine has the state GONE.
         """
         self.invalid.pop(key, None)
         if value is None:
@@ -86,48 +87,49 @@
         return self._store(TableEntry(key, revision, endpoint, value))
 
     def replace(self, pairs: Iterable[KeyValuePair]) -> tuple[TableEntry, ...]:
-        """Replace all keys as of one revision.
+        """Replace all keys by those of a snapshot.
 
-        A key whose value can't be used keeps its former record, if it has one.
+        A key with an invalid value keeps its previous record, if it has one.
 
         Returns:
-            All listed engines.
+            The entries of all listed engines.
         """
-        former = self.entries
+        previous = self.entries
         self.entries = {}
         self.invalid = {}
         self._listed_key = {}
         self._record_keys = {}
         for key, revision, value in pairs:
             changed = self.put(key, revision, value)
-            if not changed and key in self.invalid and key in former:
-                self._keep(replace(former[key], revision=revision))
+            if not changed and key in self.invalid and key in previous:
+                self._carry_over(replace(previous[key], revision=revision))
         return tuple(self._listed_entries())
 
     def _listed_entries(self) -> Iterable[TableEntry]:
         return (self.entries[key] for key in self._listed_key.values())
 
     def _reject(self, key: str, revision: int, reason: str) -> None:
-        """Count a value that can't be used; the key's revision moves on, its record stays."""
+        """Record an invalid value. The key keeps its record, but takes the new revision."""
         self.invalid[key] = reason
         self.invalid_count += 1
-        former = self.entries.get(key)
-        if former is not None:
-            self.entries[key] = replace(former, revision=revision)
+        previous = self.entries.get(key)
+        if previous is not None:
+            self.entries[key] = replace(previous, revision=revision)
 
-    def _keep(self, entry: TableEntry) -> None:
-        """Take over an entry of the former list."""
+    def _carry_over(self, entry: TableEntry) -> None:
+        """Add an entry of the previous list."""
         engine = entry.endpoint.entry.engine
         self.entries[entry.key] = entry
         self._record_keys.setdefault(engine, set()).add(entry.key)
         self._listed_key.setdefault(engine, entry.key)
 
     def _store(self, entry: TableEntry) -> list[TableEntry]:
+        """Store a valid record, and return the entries of engines whose listing has changed."""
         key = entry.key
         engine = entry.endpoint.entry.engine
-        former = self.entries.get(key)
+        previous = self.entries.get(key)
         changed = []
-        if former is not None and former.endpoint.entry.engine != engine:
+        if previous is not None and previous.endpoint.entry.engine != engine:
             changed = self._remove(key, entry.revision)
         self.entries[key] = entry
         self._record_keys.setdefault(engine, set()).add(key)
@@ -136,12 +138,12 @@
         if is_listed_by_other and self.entries[listed_key].revision > entry.revision:
             return changed
         self._listed_key[engine] = key
-        if former is None or former.endpoint != entry.endpoint or listed_key != key:
+        if previous is None or previous.endpoint != entry.endpoint or listed_key != key:
             changed.append(entry)
         return changed
 
     def _remove(self, key: str, revision: int) -> list[TableEntry]:
-        """Remove a key; its engine goes on by the latest other record of it, or is gone."""
+        """Remove a key. Its engine stays listed if another key holds a record of it."""
         entry = self.entries.pop(key, None)
         if entry is None:
             return []
@@ -157,12 +159,12 @@
             self._listed_key[engine] = successor.key
             return [successor]
         del self._record_keys[engine]
-        gone = replace(entry.endpoint.entry, state=api.State.GONE)
-        return [TableEntry(key, revision, replace(entry.endpoint, entry=gone), entry.value)]
+        removed_engine = replace(entry.endpoint.entry, state=api.State.GONE)
+        return [TableEntry(key, revision, replace(entry.endpoint, entry=removed_engine), entry.value)]
 
 
 def endpoints_digest(endpoints: Iterable[Endpoint]) -> int:
-    """Return a checksum to compare instances by: equal for equal lists, in whatever order."""
+    """Return a checksum for comparing the lists of instances; the order of endpoints does not matter."""
     rows = sorted(
         f"{endpoint.entry.engine:08x} {endpoint.entry.state.value} {endpoint.address}"
         for endpoint in endpoints
