--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -505,9 +505,9 @@
 @pytest.mark.parametrize(
     "value, key, text",
     [
-        (record(1, zone="c"), "zone", "zone: 'c' is not one of the settings' zones"),
-        (record(1, port=0), "address", "address: '10.0.0.1:0' is not IP:PORT"),
-        (b"x" * 70_000, "", "a value of 70000 bytes, over 65536"),
+        (record(1, zone="c"), "zone", "zone: 'c' is not one of the configured zones"),
+        (record(1, port=0), "address", "address: IP:PORT is needed, not '10.0.0.1:0'"),
+        (b"x" * 70_000, "", "the value has 70000 bytes; at most 65536 are allowed"),
     ],
 )
 def test_error_of_an_invalid_value_has_the_field_beside_the_text(value, key, text):
