--- a/applevale/discovery/registry/snapshot.py
+++ b/applevale/discovery/registry/snapshot.py
@@ -1,4 +1,4 @@
-"""The last list and its revision in an embedded store (LMDB), for a start while the registry is down."""
+"""Storage of the last list in an embedded database (LMDB), for a start while the registry is down."""
 
 from __future__ import annotations
 
@@ -14,58 +14,63 @@
 from .key_values import KeyValuePair
 
 FORMAT_VERSION = 1
-MAX_STORE_BYTES = 64 << 20  # 100,000 engines
+MAX_STORE_BYTES = 64 << 20  # Enough for 100,000 engines.
 DIGEST_BYTES = 16
 MIN_SAVE_INTERVAL_SECONDS = 1.0
 _KEY = b"list"
 
 
 class SnapshotError(ValueError):
-    """A store that can't be used, or a snapshot that is torn, foreign or of another format."""
+    """The store cannot be used, or its snapshot is torn, in another format or of another registry."""
 
 
 class _Document(msgspec.Struct):
-    """The stored form."""
+    """The stored form of a snapshot; `registry` identifies the registry and the key prefix."""
 
     format_version: int = msgspec.field(name="form")
-    registry: str  # identifies the registry and the prefix
+    registry: str
     revision: int
     records: list[KeyValuePair]
 
 
 @dataclass(frozen=True)
 class StoredSnapshot:
-    """A list as of a revision."""
+    """A stored list with its revision."""
 
     revision: int
     records: list[KeyValuePair]
 
 
 class SnapshotStore:
-    """A store of one snapshot, which is replaced in one transaction; a digest detects a torn one."""
+    """Stores one snapshot. It is replaced in one transaction, and a digest detects a torn one.
+
+    Attributes:
+        registry: Identifies the registry; a snapshot of another one is not loaded.
+        environment: LMDB environment of the store.
+    """
 
     def __init__(self, directory: str, registry: str):
         """Open the store.
 
         Args:
-            directory: Where the store's files are; created if need be.
+            directory: Directory of the store's files, which is created if it does not exist.
             registry: Identifies the registry; a snapshot of another one is not loaded.
 
         Raises:
-            SnapshotError: There can be no store in `directory`.
+            SnapshotError: The store cannot be opened.
         """
         self.registry = registry
         try:
             os.makedirs(directory, exist_ok=True)
             self.environment = lmdb.open(directory, map_size=MAX_STORE_BYTES, max_dbs=0, metasync=True)
         except (OSError, lmdb.Error) as error:
-            raise SnapshotError(f"{directory}: {error}") from None
+            raise SnapshotError(f"{directory}: the store cannot be opened: {error}") from None
 
     def save(self, revision: int, records: Iterable[KeyValuePair]) -> None:
         """Replace the snapshot.
 
         Raises:
-            SnapshotError: It can't be written; the former one stays.
+            SnapshotError: The snapshot cannot be written; the previous one stays.
         """
         document = _Document(FORMAT_VERSION, self.registry, revision, list(records))
         body = msgspec.msgpack.encode(document)
@@ -79,7 +84,7 @@
         """Return the snapshot; None if there is none.
 
         Raises:
-            SnapshotError: The snapshot can't be trusted.
+            SnapshotError: The snapshot cannot be read, or is torn, in another format or of another registry.
         """
         try:
             with self.environment.begin() as transaction:
@@ -91,7 +96,8 @@
         document = _decode(raw)
         if (document.format_version, document.registry) != (FORMAT_VERSION, self.registry):
             raise SnapshotError(
-                f"of form {document.format_version} and of {document.registry!r}, not {self.registry!r}"
+                f"the snapshot has format {document.format_version} and belongs to {document.registry!r}; "
+                f"format {FORMAT_VERSION} of {self.registry!r} is needed"
             )
         return StoredSnapshot(document.revision, document.records)
 
@@ -107,34 +113,51 @@
 def _decode(raw: bytes) -> _Document:
     body = raw[DIGEST_BYTES:]
     if _digest(body) != raw[:DIGEST_BYTES]:
-        raise SnapshotError("torn: its digest does not fit")
+        raise SnapshotError("the snapshot is torn: its digest does not match")
     try:
         return msgspec.msgpack.decode(body, type=_Document)
     except msgspec.MsgspecError as error:
-        raise SnapshotError(f"foreign: {error}") from None
+        raise SnapshotError(f"the snapshot is in an unknown format: {error}") from None
 
 
 class SnapshotWriter:
-    """Saves changed lists to a store, at a limited rate; a failure is logged."""
+    """Saves the changed list to a store at a limited rate, and logs failures.
+
+    Attributes:
+        store: Store to which the list is saved.
+        read_records: Returns the current list.
+        has_changes: Whether the list differs from the saved one.
+        last_saved_at: Time of the last save, in s.
+    """
 
     def __init__(self, store: SnapshotStore, read_records: Callable[[], list[KeyValuePair]]):
-        """`read_records` returns the list as it is now."""
+        """Create a writer that has saved nothing yet.
+
+        Args:
+            store: Store to which the list is saved.
+            read_records: Returns the current list.
+        """
         self.store = store
         self.read_records = read_records
         self.has_changes = False
         self.last_saved_at = -MIN_SAVE_INTERVAL_SECONDS
 
     def mark_changed(self) -> None:
-        """Note that the list differs from the saved one."""
+        """Record that the list differs from the saved one."""
         self.has_changes = True
 
     def save_if_due(self, now: float, revision: int) -> None:
-        """Save a list that has changed, unless one was saved just before."""
+        """Save the list if it has changed and the last save was long enough ago.
+
+        Args:
+            now: Current time, in s.
+            revision: Revision of the list; 0 if it has none.
+        """
         if now - self.last_saved_at >= MIN_SAVE_INTERVAL_SECONDS:
             self.save(now, revision)
 
     def save(self, now: float, revision: int) -> None:
-        """Save a list that has changed and has a revision."""
+        """Save the list at once if it has changed and has a revision."""
         if not self.has_changes or not revision:
             return
         self.last_saved_at = now
@@ -142,4 +165,4 @@
         try:
             self.store.save(revision, self.read_records())
         except SnapshotError as error:
-            log_event("registry", f"the snapshot was not written: {error}")
+            log_event("registry", f"the snapshot was not saved: {error}")
