--- a/applevale/discovery/registry/consul.py
+++ b/applevale/discovery/registry/consul.py
@@ -1,4 +1,4 @@
-"""A session by blocking reads over HTTP, as Consul's key-value store answers them."""
+"""A session with a Consul agent, whose key-value store is watched by blocking queries over HTTP."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
     ThrottledError,
 )
 
-BLOCKING_READ_SECONDS = 30  # that a blocking read may stay unanswered
+BLOCKING_QUERY_SECONDS = 30  # Time after which the agent responds even without a change.
 MAX_RETRY_AFTER_SECONDS = 60.0
 HTTP_OK = 200
-HTTP_NOT_FOUND = 404  # no key has the prefix
+HTTP_NOT_FOUND = 404  # No key has the prefix.
 HTTP_TOO_MANY_REQUESTS = 429
 HTTP_UNAVAILABLE = 503
 HTTP_AUTHENTICATION_FAILURES = (401, 403)
 
 
 class Response(NamedTuple):
-    """The store's index, and the body of a response."""
+    """The index of the key-value store, and the body of an HTTP response."""
 
     index: int
     body: bytes
 
 
 def read_pairs(body: bytes) -> PairsByKey:
-    """Return the keys of a response with their indexes and values.
+    """Parse the body of a response into keys with their values and modification indexes.
 
     Raises:
         ValueError: The body is not a list of keys.
@@ -44,7 +44,7 @@
     pairs: PairsByKey = {}
     for item in json.loads(body):
         if not isinstance(item, dict):
-            raise ValueError("not a list of keys")
+            raise ValueError("the response is not a list of keys")
         value = base64.b64decode(item["Value"] or "", validate=True)
         index = int(item["ModifyIndex"])
         key = str(item["Key"])
@@ -52,13 +52,16 @@
     return pairs
 
 
-def diff_pairs(former: PairsByKey, current: PairsByKey, index: int) -> list[KeyValueEvent]:
-    """Return what leads from one list to the next, by index; deletions come last, as of `index`."""
+def diff_pairs(previous: PairsByKey, current: PairsByKey, index: int) -> list[KeyValueEvent]:
+    """Return the events that lead from the previous list to the current one.
+
+    Changes are ordered by their indexes. Deletions come last, as of `index`.
+    """
     events = [
-        KeyValueEvent(*pair) for pair in current.values() if _index_of(former, pair.key) != pair.revision
+        KeyValueEvent(*pair) for pair in current.values() if _index_of(previous, pair.key) != pair.revision
     ]
     events.sort(key=lambda event: event.revision)
-    return events + [KeyValueEvent(key, index, None) for key in former if key not in current]
+    return events + [KeyValueEvent(key, index, None) for key in previous if key not in current]
 
 
 def _index_of(pairs: PairsByKey, key: str) -> int:
@@ -67,15 +70,15 @@
 
 
 def parse_retry_after(text: str) -> float:
-    """Return the delay of a `Retry-After` header in s, up to a limit; 0 for one that is a date."""
+    """Return the delay of a `Retry-After` header in s, up to a limit; 0 if the header is a date."""
     return min(MAX_RETRY_AFTER_SECONDS, float(text)) if text.isdecimal() else 0.0
 
 
 class ConsulSession(Session):
     """A session with a Consul agent.
 
-    A blocking read returns the whole list, so changes are found here: against the list of the last read in
-    this session, or the list that was known before it.
+    A blocking query returns the whole list. Changes are found by comparison with the last list that was read
+    in this session, or with the list that was known before the session.
     """
 
     def __init__(
@@ -85,17 +88,17 @@
         listener: SessionListener,
         clock: Callable[[], float],
     ):
-        """Build a session with an agent; see `Session`."""
+        """Create a session with an agent; see `Session`."""
         super().__init__(session_id, target, listener, clock)
         host, port = target.address
         scheme = "https" if target.ssl_context else "http"
         url_host = f"[{host}]" if ":" in host else host
         self.url = f"{scheme}://{url_host}:{port}/v1/kv/{target.settings.prefix}"
         self.http: aiohttp.ClientSession | None = None
-        self.pairs: PairsByKey = {}  # as of the last list read in this session
+        self.pairs: PairsByKey = {}  # The last list that was read in this session.
 
     def handshake(self) -> None:
-        """Connect and read the store's index."""
+        """Connect and read the index of the key-value store."""
         self.spawn(self._handshake())
 
     def read_all(self) -> None:
@@ -103,16 +106,16 @@
         self.spawn(self._read_all())
 
     def watch(self, start_revision: int, read_known_pairs: Callable[[], PairsByKey]) -> None:
-        """Watch by blocking reads that begin behind `start_revision`."""
+        """Watch all changes from `start_revision` on by blocking queries."""
         self.pairs = self.pairs or read_known_pairs()
         self.spawn(self._watch(start_revision - 1))
 
     def poll_revision(self, requested_at: float) -> None:
-        """Read the store's index."""
+        """Read the index of the key-value store."""
         self.spawn(self._poll_revision(requested_at))
 
     def request_progress(self) -> None:
-        """Do nothing: a blocking read returns at once what is new."""
+        """Do nothing, since a blocking query returns as soon as there is a change."""
 
     async def close_connection(self) -> None:
         """Close the HTTP connections."""
@@ -120,7 +123,7 @@
             await self.http.close()
 
     async def _handshake(self) -> None:
-        if self.http is not None:  # the first handshake was throttled
+        if self.http is not None:  # An earlier handshake was throttled.
             await self.http.close()
         local_address = self.target.local_address
         connector = aiohttp.TCPConnector(local_addr=(local_address, 0)) if local_address else None
@@ -141,14 +144,14 @@
     async def _watch(self, index: int) -> None:
         while True:
             response = await self._get(
-                recurse="", consistent="", index=str(max(1, index)), wait=f"{BLOCKING_READ_SECONDS}s"
+                recurse="", consistent="", index=str(max(1, index)), wait=f"{BLOCKING_QUERY_SECONDS}s"
             )
-            if response.index < index:  # a new store, or one that was restored
-                raise ConnectionError(f"the index went back from {index} to {response.index}")
+            if response.index < index:  # The store is new, or was restored.
+                raise ConnectionError(f"the index decreased from {index} to {response.index}")
             index = response.index
-            former = self.pairs
+            previous = self.pairs
             self.pairs = read_pairs(response.body)
-            events = diff_pairs(former, self.pairs, index)
+            events = diff_pairs(previous, self.pairs, index)
             self.listener.on_events(self.session_id, index, events)
 
     async def _poll_revision(self, requested_at: float) -> None:
@@ -159,10 +162,10 @@
         """Read keys under the prefix.
 
         Raises:
-            AuthenticationError: The agent rejects the token.
+            AuthenticationError: The agent rejected the token.
             ThrottledError: The agent is overloaded.
             ValueError: The response is too long or malformed.
-            OSError: The request failed; aiohttp has other errors besides.
+            OSError: The request failed. aiohttp may raise other errors as well.
         """
         headers = {"X-Consul-Token": self.target.settings.token} if self.target.settings.token else {}
         ssl_context = self.target.ssl_context or True
@@ -174,15 +177,15 @@
 
 
 def _check_status(response: aiohttp.ClientResponse, is_watch: bool) -> None:
-    """Raise an error unless the response has a list of keys."""
+    """Raise an error unless the status is that of a list of keys."""
     status = response.status
     if status in HTTP_AUTHENTICATION_FAILURES:
-        raise AuthenticationError(f"credentials refused: HTTP {status}")
+        raise AuthenticationError(f"credentials rejected: HTTP {status}")
     retry_after = response.headers.get("Retry-After", "")
     if status == HTTP_TOO_MANY_REQUESTS or (status == HTTP_UNAVAILABLE and retry_after):
         raise ThrottledError(parse_retry_after(retry_after), is_watch)
     if status not in (HTTP_OK, HTTP_NOT_FOUND):
-        raise ConnectionError(f"HTTP {status}")
+        raise ConnectionError(f"unexpected HTTP status {status}")
 
 
 async def _read_body(response: aiohttp.ClientResponse) -> bytes:
@@ -190,5 +193,5 @@
     async for chunk in response.content.iter_any():
         body += chunk
         if len(body) > MAX_MESSAGE_BYTES:
-            raise ValueError(f"an answer of over {MAX_MESSAGE_BYTES} bytes")
+            raise ValueError(f"the response has over {MAX_MESSAGE_BYTES} bytes")
     return bytes(body)
