--- a/applevale/discovery/registry/etcd.py
+++ b/applevale/discovery/registry/etcd.py
@@ -1,4 +1,4 @@
-"""A session by the etcd v3 API over gRPC."""
+"""A session with a member of an etcd cluster, using the etcd v3 API over gRPC."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
     ThrottledError,
 )
 
-PAGE_KEYS = 1_000  # of one response to a full read
+KEYS_PER_PAGE = 1_000  # Number of keys in one response to a full read.
 MAX_CANCEL_REASON_LENGTH = 60
 _AUTHENTICATION_FAILURES = {Status.UNAUTHENTICATED, Status.PERMISSION_DENIED}
 
 
 @dataclass(frozen=True)
 class _Snapshot:
+    """All keys as of one revision."""
+
     revision: int
     records: list[KeyValuePair]
 
 
 class _LocalChannel(Channel):
-    """A channel that may bind a local address."""
+    """A channel that can bind its connection to a local address."""
 
     local_address = ""
 
@@ -61,7 +63,7 @@
         listener: SessionListener,
         clock: Callable[[], float],
     ):
-        """Build a session with a member; see `Session`."""
+        """Create a session with a member; see `Session`."""
         super().__init__(session_id, target, listener, clock)
         settings = target.settings
         self.channel = _LocalChannel(*target.address, ssl=target.ssl_context)
@@ -70,10 +72,10 @@
         self.range_end = messages.range_end(self.prefix)
         self.metadata: dict[str, str] = {"token": settings.token} if settings.token else {}
         self.watch_stream: Stream | None = None
-        self.is_progress_pending = False  # it was requested before there was a watch
+        self.is_progress_pending = False  # Whether progress was requested before the watch was created.
 
     def handshake(self) -> None:
-        """Log in if there is a user, and read the cluster's revision."""
+        """Log in if a user is configured, and read the cluster's revision."""
         self.spawn(self._handshake())
 
     def read_all(self) -> None:
@@ -81,15 +83,15 @@
         self.spawn(self._read_all())
 
     def watch(self, start_revision: int, read_known_pairs: Callable[[], PairsByKey]) -> None:
-        """Watch all changes from `start_revision` on; what is known is of no use here."""
+        """Watch all changes from `start_revision` on; the known list is not needed."""
         self.spawn(self._watch(start_revision))
 
     def poll_revision(self, requested_at: float) -> None:
-        """Read the cluster's present revision."""
+        """Read the cluster's current revision."""
         self.spawn(self._poll_revision(requested_at))
 
     def request_progress(self) -> None:
-        """Ask the watch for a progress notification, which comes behind all events before it."""
+        """Request a progress notification, which follows all earlier events of the watch."""
         self.spawn(self._request_progress())
 
     async def close_connection(self) -> None:
@@ -112,13 +114,13 @@
         self.listener.on_revision(self.session_id, requested_at, header.revision)
 
     async def _read_header(self) -> object:
-        """Return a header with the revision that the cluster has committed: the read is linearizable."""
+        """Return a response header with the latest committed revision; the read is linearizable."""
         request = messages.RangeRequest(key=self.prefix, range_end=self.range_end, count_only=True)
         response = await self._call(messages.RANGE, request, messages.RangeResponse)
         return response.header
 
     async def _read_all(self) -> None:
-        """Read all keys as of one revision, anew if that is compacted before the last page."""
+        """Read all keys as of one revision; start again if it is compacted before the last page."""
         snapshot = None
         while snapshot is None:
             requested_at = self.clock()
@@ -126,13 +128,13 @@
         self.listener.on_snapshot(self.session_id, requested_at, snapshot.revision, snapshot.records)
 
     async def _read_pages(self) -> _Snapshot | None:
-        """Return all keys as of the revision of the first page; None if it was compacted meanwhile."""
+        """Return all keys as of the revision of the first page; None if it was compacted during the read."""
         revision = 0
         key = self.prefix
         records: list[KeyValuePair] = []
         while True:
             request = messages.RangeRequest(
-                key=key, range_end=self.range_end, limit=PAGE_KEYS, revision=revision
+                key=key, range_end=self.range_end, limit=KEYS_PER_PAGE, revision=revision
             )
             try:
                 page = await self._call(messages.RANGE, request, messages.RangeResponse)
@@ -150,9 +152,9 @@
         """Return the response to a unary call.
 
         Raises:
-            AuthenticationError: The member rejects the credentials.
+            AuthenticationError: The member rejected the credentials.
             ThrottledError: The member is overloaded.
-            GRPCError: The call failed otherwise; a broken connection raises other errors besides.
+            GRPCError: The call failed otherwise. A broken connection may raise other errors as well.
         """
         try:
             call = UnaryUnaryMethod(self.channel, method, type(request), response_type)
@@ -162,12 +164,12 @@
                 response = await stream.recv_message()
         except GRPCError as error:
             if error.status in _AUTHENTICATION_FAILURES or method == messages.AUTHENTICATE:
-                raise AuthenticationError(f"credentials refused: {error.message}") from None
+                raise AuthenticationError(f"credentials rejected: {error.message}") from None
             if error.status is Status.RESOURCE_EXHAUSTED:
                 raise ThrottledError from None
             raise
         if response is None:
-            raise ConnectionError("no answer")
+            raise ConnectionError("the call ended without a response")
         return response
 
     async def _watch(self, start_revision: int) -> None:
@@ -185,7 +187,7 @@
                     return
             except GRPCError as error:
                 if error.status in _AUTHENTICATION_FAILURES:
-                    raise AuthenticationError(f"credentials refused: {error.message}") from None
+                    raise AuthenticationError(f"credentials rejected: {error.message}") from None
                 if error.status is Status.RESOURCE_EXHAUSTED:
                     raise ThrottledError(is_watch=True) from None
                 raise
@@ -194,7 +196,7 @@
         raise ConnectionError("the watch ended")
 
     async def _receive_watch(self, stream: Stream) -> bool:
-        """Report what the watch delivers; return whether it was cancelled for a compaction."""
+        """Report events until the watch ends; return whether it ended because of a compaction."""
         while (response := await stream.recv_message()) is not None:
             if response.created:
                 self.watch_stream = stream
@@ -209,6 +211,7 @@
         return False
 
     def _handle_cancellation(self, response: object) -> None:
+        """Report a compaction, or raise an error if the watch was cancelled for another reason."""
         if not response.compact_revision:
             reason = response.cancel_reason[:MAX_CANCEL_REASON_LENGTH]
             raise ConnectionError(f"the watch was cancelled: {reason}")
@@ -226,12 +229,12 @@
 
 
 def _limit_message_size(stream: Stream) -> None:
-    """Guard the memory: the library reads as much as a member announces, up to 4 GB a message."""
+    """Limit the size of received messages, since the library reads messages of up to 4 GB into memory."""
     receive = stream._stream.recv_data
 
     async def receive_limited(size: int) -> bytes:
         if size > MAX_MESSAGE_BYTES:
-            raise ValueError(f"a message of {size} bytes")
+            raise ValueError(f"the message has {size} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
         return await receive(size)
 
     stream._stream.recv_data = receive_limited
--- a/applevale/discovery/registry/messages.py
+++ b/applevale/discovery/registry/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the etcd v3 API that are in use here, by their published names and field numbers."""
+"""Messages of the etcd v3 API, with the published names and field numbers; only those in use here."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "int32": _FieldType.TYPE_INT32,
 }
 
-# name: {field: (number, type)}; a type in [] is repeated. An enumeration travels as int32 does.
+# Number and type of each field. A type in brackets is repeated. An enum is encoded like an int32.
 _MESSAGE_FIELDS: dict[str, dict[str, tuple[int, str]]] = {
     "ResponseHeader": {
         "cluster_id": (1, "uint64"),
@@ -71,11 +71,11 @@
     "AuthenticateRequest": {"name": (1, "string"), "password": (2, "string")},
     "AuthenticateResponse": {"header": (1, "ResponseHeader"), "token": (2, "string")},
 }
-# Types of an Event.
+# Values of Event.type.
 PUT = 0
 DELETE = 1
 
-# Paths of the methods.
+# Paths of the gRPC methods.
 RANGE = "/etcdserverpb.KV/Range"
 WATCH = "/etcdserverpb.Watch/Watch"
 AUTHENTICATE = "/etcdserverpb.Auth/Authenticate"
@@ -85,16 +85,16 @@
     file = descriptor_pb2.FileDescriptorProto(name="etcd.proto", package="applevale", syntax="proto3")
     for name, fields in _MESSAGE_FIELDS.items():
         message = file.message_type.add(name=name)
-        for field, (number, kind) in fields.items():
-            inner = kind.strip("[]")
+        for field, (number, field_type) in fields.items():
+            base_type = field_type.strip("[]")
             entry = message.field.add(
                 name=field,
                 number=number,
-                label=_FieldType.LABEL_REPEATED if kind.startswith("[") else _FieldType.LABEL_OPTIONAL,
-                type=_SCALAR_TYPES.get(inner, _FieldType.TYPE_MESSAGE),
+                label=_FieldType.LABEL_REPEATED if field_type.startswith("[") else _FieldType.LABEL_OPTIONAL,
+                type=_SCALAR_TYPES.get(base_type, _FieldType.TYPE_MESSAGE),
             )
-            if inner not in _SCALAR_TYPES:
-                entry.type_name = f".applevale.{inner}"
+            if base_type not in _SCALAR_TYPES:
+                entry.type_name = f".applevale.{base_type}"
     return file
 
 
@@ -120,6 +120,6 @@
 
 
 def range_end(prefix: bytes) -> bytes:
-    """Return the first key behind all that begin with `prefix`."""
+    """Return the first key after all keys that begin with `prefix`."""
     stem = prefix.rstrip(b"\xff")
     return stem[:-1] + bytes([stem[-1] + 1]) if stem else b"\0"
