--- a/applevale/discovery/registry/settings.py
+++ b/applevale/discovery/registry/settings.py
@@ -9,6 +9,7 @@
 from ...errors import AppleValeError
 
 MAX_PORT = 65535
+MAX_QUOTED_ADDRESS_LENGTH = 60
 
 HoldSeconds = Annotated[float, msgspec.Meta(gt=0, le=3600)]
 FreshnessSeconds = Annotated[float, msgspec.Meta(ge=0.1, le=60)]
@@ -17,31 +18,31 @@
 
 
 class RegistrySettingsError(AppleValeError, ValueError):
-    """A setting that is missing or makes no sense.
+    """A setting of the registry is missing or invalid.
 
     Attributes:
-        key: The setting's key, with those of the sections around it.
-        reason: What is wrong with it.
+        key: Full key of the setting, including its sections.
+        reason: Why the setting is invalid.
     """
 
     def __init__(self, key: str, reason: str):
-        """Build the error of one setting."""
+        """Create the error for one setting."""
         super().__init__(key, reason)
         self.key = key
         self.reason = reason
 
     def __str__(self) -> str:
-        """Return both in one line."""
+        """Return key and reason in one line."""
         return f"{self.key}: {self.reason}"
 
 
 class TlsSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Paths of PEM files.
+    """Paths of PEM files for TLS.
 
     Attributes:
-        ca: Certificates of the authorities that are trusted.
-        cert: The client's certificate; empty for none.
-        key: The key of that certificate.
+        ca: Certificates of the trusted authorities.
+        cert: Client certificate; empty for none.
+        key: Private key of the client certificate.
     """
 
     ca: str
@@ -50,19 +51,21 @@
 
 
 class RegistrySettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Where the registry is, how to log in, and how fresh its list has to be. Field names are the keys.
+    """Addresses and credentials of the registry, and how fresh its list has to be.
+
+    Each field has the name of its key in the configuration.
 
     Attributes:
-        kind: The protocol.
-        addresses: HOST:PORT of each member, tried in turn.
-        prefix: The prefix of the keys that hold engines.
-        on_stale: Whether new work is held, or served, while the list is not confirmed.
-        hold: Time for which new work is held before it is rejected, in s.
+        kind: Protocol of the registry.
+        addresses: HOST:PORT of each member. The members are tried in turn.
+        prefix: Prefix of the keys that hold engine records.
+        on_stale: Whether new requests are held or served while the list is not confirmed.
+        hold: Time for which new requests are held before they are rejected, in s.
         fresh: Staleness up to which the list counts as confirmed, in s.
-        user: User of etcd; empty for none.
-        password: The user's password.
-        token: Token of Consul or etcd; empty for none.
-        tls: Files for TLS; None for plain TCP.
+        user: User name for etcd; empty for none.
+        password: Password of that user.
+        token: Access token for Consul or etcd; empty for none.
+        tls: Paths of the certificates; None for plain TCP.
         snapshot: Directory of the snapshot store; empty for none.
     """
 
@@ -79,7 +82,7 @@
     snapshot: str = ""
 
     def member_addresses(self) -> list[tuple[str, int]]:
-        """Return host and port of each member.
+        """Return the host and port of each member.
 
         Raises:
             RegistrySettingsError: An address is not HOST:PORT.
@@ -90,15 +93,17 @@
 def _parse_address(index: int, text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise RegistrySettingsError(f"registry.addresses[{index}]", f"HOST:PORT is needed, not {text[:60]!r}")
+        raise RegistrySettingsError(
+            f"registry.addresses[{index}]", f"HOST:PORT is needed, not {text[:MAX_QUOTED_ADDRESS_LENGTH]!r}"
+        )
     return host.strip("[]"), int(port)
 
 
 def read_settings(raw: object) -> RegistrySettings:
-    """Return the settings of a `registry` section.
+    """Parse and check a `registry` section.
 
     Raises:
-        RegistrySettingsError: A setting can't be used.
+        RegistrySettingsError: A setting is missing or invalid.
     """
     try:
         settings = msgspec.convert(raw, RegistrySettings)
@@ -107,7 +112,7 @@
         raise RegistrySettingsError(f"registry{place.rstrip('`')}", text) from None
     settings.member_addresses()
     if bool(settings.user) != bool(settings.password):
-        raise RegistrySettingsError("registry.password", "user and password go together")
+        raise RegistrySettingsError("registry.password", "user and password must be set together")
     if settings.tls and bool(settings.tls.cert) != bool(settings.tls.key):
-        raise RegistrySettingsError("registry.tls.key", "cert and key go together")
+        raise RegistrySettingsError("registry.tls.key", "cert and key must be set together")
     return settings
