--- a/applevale/discovery/control_feed.py
+++ b/applevale/discovery/control_feed.py
@@ -1,4 +1,4 @@
-"""The control feed: follows the numbered updates of the list of engines over TCP."""
+"""Client of the control feed, which sends numbered updates of the engine list over TCP."""
 
 from __future__ import annotations
 
@@ -13,23 +13,27 @@
 from .endpoints import AttributeNames, EndpointUpdate
 from .feed_codec import FeedError, FrameDecoder
 
-# Without a whole frame, of which one comes each second, until the connection is given up.
+# A connection without a whole frame for this time is closed. The feed sends at least one frame per second.
 SILENCE_TIMEOUT_SECONDS = 1.8
 MIN_RECONNECT_SECONDS = 0.05
 MAX_RECONNECT_SECONDS = 0.4
 RECEIVE_BUFFER_BYTES = 16384
-RESUME_REQUEST = struct.Struct(">Q")  # the number of the last update that was published
+RESUME_REQUEST = struct.Struct(">Q")  # Number of the last update that was published.
 
 
 class ControlFeed:
-    """A client of the control feed that reconnects for as long as it runs.
+    """An `EndpointSource` that follows the control feed, and reconnects until it is stopped.
 
-    It publishes each update once and in order: after a break the feed sends what was missed.
+    It publishes each update once and in order. After a reconnect the feed sends the updates that were missed.
 
     Attributes:
-        last_number: The number of the last update that was published.
-        address: Where the feed is; None if it is not followed.
-        last_frame_at: When the last frame came, by the event loop's clock.
+        last_number: Number of the last update that was published.
+        names: Names of zones and machine kinds, to which records refer by index.
+        counters: Counts frames, updates and broken connections.
+        publish: Called with each update, once and in order.
+        address: Address of the feed; None if no feed is followed.
+        task: Task that follows the feed; None if no feed is followed.
+        last_frame_at: Time of the last frame on the event loop's clock, in s.
     """
 
     def __init__(
@@ -40,14 +44,14 @@
         publish: Callable[[EndpointUpdate], None],
         address: tuple[str, int] | None = None,
     ):
-        """Build a client that `start` connects.
+        """Create a client; `start` opens its connection.
 
         Args:
-            last_number: The number of the last update that is known already.
-            names: The names of zones and kinds, which records refer to by position.
-            counters: Counts frames, updates and breaks.
+            last_number: Number of the last update that is already known.
+            names: Names of zones and machine kinds, to which records refer by index.
+            counters: Counts frames, updates and broken connections.
             publish: Called with each update, once and in order.
-            address: Where the feed is; None for a list that doesn't change.
+            address: Address of the feed; None for a fixed engine list.
         """
         self.last_number = last_number
         self.names = names
@@ -58,11 +62,11 @@
         self.last_frame_at = -inf
 
     def start(self) -> None:
-        """Start to follow the feed, if there is an address."""
+        """Start to follow the feed if it has an address."""
         self.reconfigure(self.address)
 
     def reconfigure(self, target: tuple[str, int] | None) -> None:
-        """Follow the feed at `target` from the last published update on; None stops following it."""
+        """Follow the feed at `target`, starting after the last published update; None stops following."""
         if self.task is not None and (target is None or target != self.address):
             self.task.cancel()
             self.task = None
@@ -71,7 +75,7 @@
             self.task = asyncio.create_task(self._follow())
 
     def is_fresh(self) -> bool:
-        """Return whether a frame came lately; without an address the known list counts as current."""
+        """Return whether a frame was received recently; without an address the list is always fresh."""
         if self.address is None:
             return True
         return asyncio.get_running_loop().time() - self.last_frame_at <= SILENCE_TIMEOUT_SECONDS
@@ -81,16 +85,16 @@
         self.reconfigure(None)
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Publish an update unless it was published before.
+        """Publish an update unless it has already been published.
 
         Raises:
-            FeedError: Updates are missing between the last one and this.
+            FeedError: Updates between the last published one and this one are missing.
         """
         self.counters["feed_frames"] += 1
         if update.number <= self.last_number:
             return
-        if not update.endpoints and not update.is_full:  # a heartbeat behind an update that never came
-            text = f"at {update.number}, though {self.last_number} was the last one told"
+        if not update.endpoints and not update.is_full:  # A heartbeat that follows a missing update.
+            text = f"heartbeat of event {update.number} came after event {self.last_number}"
             raise FeedError(text, update.number)
         if not update.is_full and update.number != self.last_number + 1:
             raise FeedError(f"event {update.number} came after {self.last_number}", update.number)
@@ -99,7 +103,7 @@
         self.publish(update)
 
     async def _follow(self) -> None:
-        """Keep a connection to the feed; failures in a row are retried with growing delays."""
+        """Keep a connection to the feed; after consecutive failures it reconnects with growing delays."""
         delay = MIN_RECONNECT_SECONDS
         while True:
             frames_before = self.counters["feed_frames"]
@@ -115,7 +119,7 @@
             await asyncio.sleep(delay)
 
     async def _run_connection(self) -> None:
-        """Apply what one connection sends until it fails."""
+        """Open a connection and apply the updates that it delivers until it fails."""
         loop = asyncio.get_running_loop()
         decoder = FrameDecoder(self.names)
         buffer = bytearray(RECEIVE_BUFFER_BYTES)
@@ -125,7 +129,7 @@
                 await loop.sock_connect(sock, self.address)
                 await loop.sock_sendall(sock, RESUME_REQUEST.pack(self.last_number))
             while True:
-                # Guards against a feed that keeps the connection but sends nothing, or half a frame for ever.
+                # The feed may keep the connection open but send nothing, or never complete a frame.
                 async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                     updates = await _receive_updates(loop, sock, buffer, decoder)
                 self.last_frame_at = loop.time()
@@ -136,11 +140,15 @@
 async def _receive_updates(
     loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: bytearray, decoder: FrameDecoder
 ) -> list[EndpointUpdate]:
-    """Return the next updates, at least one. Raises FeedError once the feed has closed the connection."""
+    """Wait for the next updates and return them; there is at least one.
+
+    Raises:
+        FeedError: The feed has closed the connection, or a frame is malformed.
+    """
     updates: list[EndpointUpdate] = []
     while not updates:
         size = await loop.sock_recv_into(sock, buffer)
         if size == 0:
-            raise FeedError("closed by the other side")
+            raise FeedError("the feed closed the connection")
         updates = decoder.feed(memoryview(buffer)[:size])
     return updates
--- a/applevale/discovery/endpoints.py
+++ b/applevale/discovery/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints, their updates, and the interface that every source of the list of engines implements."""
+"""Endpoints, updates of the engine list, and the interface of its sources."""
 
 from __future__ import annotations
 
@@ -11,18 +11,22 @@
 
 
 def format_instance_id(engine: int) -> str:
-    """Return the id by which operators and lists name an engine."""
+    """Return the instance id of an engine, which operators and engine lists use."""
     return f"{INSTANCE_ID_PREFIX}{engine:08x}"
 
 
 def parse_instance_id(text: str) -> int:
-    """Return the engine that an instance id names; raises ValueError for what is none."""
+    """Return the engine that an instance id names.
+
+    Raises:
+        ValueError: The text is not an instance id.
+    """
     return int(text.removeprefix(INSTANCE_ID_PREFIX), 16)
 
 
 @dataclass(frozen=True)
 class AttributeNames:
-    """The names of zones and machine kinds; an engine's attributes are positions among them."""
+    """Names of the zones and machine kinds; engine attributes are indexes into them."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -30,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """One engine as listed: its attributes, and the host and port that it listens on."""
+    """An engine in the list: its attributes, and the host and port on which it listens."""
 
     entry: api.EngineEntry
     address: tuple[str, int]
@@ -38,12 +42,12 @@
 
 @dataclass(frozen=True)
 class EndpointUpdate:
-    """A change of the list of engines.
+    """A change of the engine list.
 
     Attributes:
-        number: The position in the source's sequence of updates.
-        is_full: Whether `endpoints` replaces the whole list; otherwise it has only engines that changed.
-        endpoints: The engines, in the order of the source.
+        number: Sequence number of the update within its source.
+        is_full: Whether `endpoints` replaces the whole list; otherwise it contains only changed engines.
+        endpoints: Engines in the order of the source.
     """
 
     number: int
@@ -52,24 +56,24 @@
 
 
 class EndpointSource(Protocol):
-    """A source of the list of engines.
+    """A source of the engine list.
 
-    It publishes each `EndpointUpdate` once and in order, to the callback that it was constructed with. A
-    failure of the source never empties the list.
+    It passes each `EndpointUpdate` once and in order to a callback that its constructor receives. A failure
+    of the source never empties the list.
     """
 
     def start(self) -> None:
-        """Start to follow the source."""
+        """Start to follow the engine list."""
 
     def reconfigure(self, target: object) -> None:
-        """Follow the source elsewhere, from the last published update on.
+        """Follow the list at another place, starting after the last published update.
 
         Args:
-            target: Where the source is from now on, in its own form: an address or its settings.
+            target: New address or settings, of the type that the source uses.
         """
 
     def is_fresh(self) -> bool:
-        """Return whether the published list is known to be current."""
+        """Return whether the published list is confirmed to be current."""
 
     async def stop(self) -> None:
-        """Stop following and close all connections."""
+        """Stop following the list and close all connections."""
