--- a/applevale/discovery/feed_codec.py
+++ b/applevale/discovery/feed_codec.py
@@ -1,4 +1,4 @@
-"""The two forms of the control feed's updates: JSON events of the configuration, and binary frames."""
+"""Decoders for updates of the engine list: JSON events in the configuration, and binary feed frames."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from ..errors import AppleValeError
 from .endpoints import AttributeNames, Endpoint, EndpointUpdate, parse_instance_id
 
-FRAME_HEADER = struct.Struct(">IQB")  # length of all that follows the length, update number, frame kind
+FRAME_HEADER = struct.Struct(">IQB")  # Length of the frame after this field, update number, frame kind.
 LENGTH_FIELD_BYTES = 4
-ENGINE_RECORD = struct.Struct(">IIHBBBHIQ")  # the fields of `EngineRecord`
-MAX_FRAME_BYTES = 1 << 20  # 38,000 engines
+ENGINE_RECORD = struct.Struct(">IIHBBBHIQ")  # The fields of `EngineRecord`.
+MAX_FRAME_BYTES = 1 << 20  # Enough for 38,000 engines.
 
 _STATE_BY_CODE = {0: api.State.READY, 1: api.State.DRAINING, 2: api.State.GONE}
 _STATE_BY_LIFECYCLE = {
@@ -27,20 +27,20 @@
 
 
 class FeedError(AppleValeError, ValueError):
-    """An update that can't be read, or that doesn't follow the one before it.
+    """An update is malformed or does not follow the previous one, or the connection failed.
 
     Attributes:
-        update_number: The number of the update; None if it is not known, or the connection failed.
+        update_number: Number of the update; None if it is unknown or the connection failed.
     """
 
     def __init__(self, text: str, update_number: int | None = None):
-        """Build the error of one update."""
+        """Create the error for one update."""
         super().__init__(text)
         self.update_number = update_number
 
 
 class FrameKind(IntEnum):
-    """What a frame holds."""
+    """The content of a frame."""
 
     HEARTBEAT = 0
     FULL_LIST = 1
@@ -48,24 +48,36 @@
 
 
 class EngineRecord(NamedTuple):
-    """One engine in a frame."""
+    """One engine in a frame.
+
+    Attributes:
+        engine: Number of the engine.
+        host: IPv4 address.
+        port: TCP port.
+        state: Code of the lifecycle state.
+        zone: Index of the zone.
+        kind: Index of the machine kind.
+        cell: Number of the cell.
+        weight: Relative capacity in thousandths.
+        started: Start of the engine in Unix time, in ms.
+    """
 
     engine: int
-    host: int  # an IPv4 address
+    host: int
     port: int
     state: int
     zone: int
     kind: int
     cell: int
-    weight: int  # thousandths
-    started: int  # Unix time, ms
+    weight: int
+    started: int
 
 
 class FrameDecoder:
-    """An incremental decoder of frames; it buffers one incomplete frame at most."""
+    """An incremental decoder of frames, which buffers at most one incomplete frame."""
 
     def __init__(self, names: AttributeNames):
-        """Build a decoder of one connection; records refer to `names` by position."""
+        """Create a decoder for one connection; records refer to `names` by index."""
         self.names = names
         self.buffer = bytearray()
 
@@ -73,7 +85,7 @@
         """Return the updates that `data` completes, in order.
 
         Raises:
-            FeedError: A frame is malformed. The decoder is of no use after that.
+            FeedError: A frame is malformed. The decoder cannot be used any more.
         """
         self.buffer += data
         updates = []
@@ -99,7 +111,7 @@
         is_known_kind = record.kind < len(self.names.kinds)
         if record.state not in _STATE_BY_CODE or not is_known_zone or not is_known_kind:
             attributes = f"state {record.state}, zone {record.zone}, kind {record.kind}"
-            raise FeedError(f"record of engine {record.engine:08x}: {attributes}", number)
+            raise FeedError(f"unknown attribute of engine {record.engine:08x}: {attributes}", number)
         entry = api.EngineEntry(
             engine=record.engine,
             zone=record.zone,
@@ -113,20 +125,21 @@
 
 
 def _check_frame_header(length: int, number: int, kind: int) -> None:
-    """Raise FeedError unless a frame can have this length and kind."""
+    """Raise FeedError unless length and kind of a frame are valid."""
     body_bytes = LENGTH_FIELD_BYTES + length - FRAME_HEADER.size
     has_bad_length = body_bytes < 0 or length > MAX_FRAME_BYTES or body_bytes % ENGINE_RECORD.size
     is_unknown_kind = kind > FrameKind.CHANGED_ENGINES
     has_records_in_heartbeat = body_bytes and kind == FrameKind.HEARTBEAT
     if has_bad_length or is_unknown_kind or has_records_in_heartbeat:
-        raise FeedError(f"frame of length {length}, kind {kind}", number)
+        raise FeedError(f"malformed frame: length {length}, kind {kind}", number)
 
 
 def parse_known_updates(raw: object, names: AttributeNames) -> tuple[EndpointUpdate, ...]:
-    """Read the updates that are known at the start, as the configuration's JSON has them.
+    """Read the updates that the configuration contains.
 
     Raises:
-        FeedError: An event can't be read, or their numbers have a gap that no full list covers.
+        FeedError: An event is malformed, or its number does not follow that of the previous one. A gap is
+            allowed before a full list.
     """
     try:
         updates = tuple(_parse_event(event, names) for event in raw["events"])
@@ -135,14 +148,16 @@
     for previous, update in pairwise(updates):
         has_gap = not update.is_full and update.number != previous.number + 1
         if update.number <= previous.number or has_gap:
-            raise FeedError(f"events: {update.number} comes after {previous.number}", update.number)
+            raise FeedError(
+                f"events: event {update.number} must not follow event {previous.number}", update.number
+            )
     return updates
 
 
 def _parse_event(event: dict, names: AttributeNames) -> EndpointUpdate:
     members = event["members"]
     number = int(event["n"])
-    # The first event has the whole list whether or not it is marked so.
+    # The first event contains the whole list, even if it is not marked as a reset.
     is_full = bool(members.get("reset")) or number == 1
     return EndpointUpdate(
         number, is_full, tuple(_parse_instance(instance, names) for instance in members["instances"])
@@ -153,7 +168,7 @@
     host, _, port = instance["hostPort"].rpartition(":")
     weight = float(instance.get("weight", 1))
     if not isfinite(weight) or weight < 0:
-        raise FeedError(f"weight: {weight!r}")
+        raise FeedError(f"weight: a finite number of 0 or more is needed, not {weight!r}")
     entry = api.EngineEntry(
         engine=parse_instance_id(instance["instanceId"]),
         zone=names.zones.index(instance["zone"]) if "zone" in instance else 0,
