--- a/applevale/discovery/__init__.py
+++ b/applevale/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: sources of the list of engines, and the gates that engines pass before they get work."""
+"""Service discovery: sources of the engine list, and exclusion of engines that must not get new requests."""
