--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,7 @@
-"""The registry as a source, against stand-ins on loopback; every wait is for an event, with a bound."""
+"""The registry source against fake etcd and Consul members on loopback.
+
+Each wait is for a condition and has a timeout.
+"""
 
 import asyncio
 import json
@@ -24,7 +27,7 @@
 NAMES = AttributeNames(("a",), ("std",))
 KINDS = ("etcd", "consul")
 PREFIX = "p/"
-BOUND = 20.0  # s: no test takes a part of it
+TIMEOUT_SECONDS = 20.0  # Far longer than any wait in these tests takes.
 
 
 def record(number, state="ready", port=7000):
@@ -32,17 +35,22 @@
 
 
 class RegistryEnvironment:
-    """A registry source, its members behind proxies, and the list of engines that it has published."""
+    """A registry source, its members behind proxies, and the engine list that it has published."""
 
-    def __init__(self, kind, **more):
-        self.kind, self.store, self.more = kind, KeyValueStore(), more
+    def __init__(self, kind, **more_settings):
+        self.kind = kind
+        self.store = KeyValueStore()
+        self.more_settings = more_settings
         self.members = [{"etcd": etcd, "consul": consul}[kind].Member(self.store) for _ in range(2)]
-        self.proxies, self.counters, self.engines, self.freshness_changes = [], Counters(), {}, []
+        self.proxies = []
+        self.counters = Counters()
+        self.engines = {}
+        self.freshness_changes = []
         self.event = asyncio.Event()
         self.source = None
 
-    def put(self, number, *state, **more):
-        return self.store.put(f"{PREFIX}{number}".encode(), record(number, *state, **more))
+    def put(self, number, *state, **options):
+        return self.store.put(f"{PREFIX}{number}".encode(), record(number, *state, **options))
 
     def on_update(self, update):
         if update.is_full:
@@ -57,10 +65,10 @@
         self.freshness_changes.append(is_fresh)
         self.event.set()
 
-    def settings(self, proxies=None, **more):
+    def settings(self, proxies=None, **more_settings):
         addresses = [f"{proxy.address[0]}:{proxy.address[1]}" for proxy in proxies or self.proxies]
         return registry_settings.read_settings(
-            {"kind": self.kind, "addresses": addresses, "prefix": PREFIX} | self.more | more
+            {"kind": self.kind, "addresses": addresses, "prefix": PREFIX} | self.more_settings | more_settings
         )
 
     def start_source(self):
@@ -70,7 +78,7 @@
         self.source.start()
 
     async def wait_until(self, condition):
-        async with asyncio.timeout(BOUND):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not condition():
                 self.event.clear()
                 waiting = asyncio.create_task(self.event.wait())
@@ -78,15 +86,15 @@
                 waiting.cancel()
 
     async def wait_until_current(self):
-        """Wait until the list is confirmed at the registry's own revision."""
+        """Wait until the list is confirmed at the current revision of the registry."""
         await self.wait_until(
             lambda: self.source.is_fresh() and self.source.watcher.revision == self.store.revision
         )
 
 
 @asynccontextmanager
-async def running_environment(kind, **more):
-    environment = RegistryEnvironment(kind, **more)
+async def running_environment(kind, **more_settings):
+    environment = RegistryEnvironment(kind, **more_settings)
     try:
         for member in environment.members:
             await member.start()
@@ -105,17 +113,17 @@
             await part.stop()
 
 
-def run_scenario(play, kind, **more):
+def run_scenario(scenario, kind, **more_settings):
     async def run():
-        async with running_environment(kind, **more) as environment:
-            await play(environment)
+        async with running_environment(kind, **more_settings) as environment:
+            await scenario(environment)
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_drain_and_a_deletion_within_a_break_with_compaction(kind):
-    async def play(environment):
+def test_a_drain_and_a_deletion_during_an_outage_with_compaction(kind):
+    async def scenario(environment):
         for proxy in environment.proxies:
             proxy.set_mode(ProxyMode.STALL)
         environment.put(1, "draining")
@@ -127,16 +135,18 @@
         for proxy in environment.proxies:
             proxy.set_mode(ProxyMode.PASS)
         await environment.wait_until_current()
-        full = 2 if kind == "etcd" else 1  # a blocking read tells the whole list, against what is known
-        assert environment.engines == {2: "draining"} and environment.counters["registry_full_reads"] == full
+        # A blocking query of Consul returns the whole list, so it needs no second full read.
+        full_reads = 2 if kind == "etcd" else 1
+        assert environment.engines == {2: "draining"}
+        assert environment.counters["registry_full_reads"] == full_reads
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
 @pytest.mark.parametrize("mode", [ProxyMode.HALF, ProxyMode.GARBAGE])
 @pytest.mark.parametrize("kind", KINDS)
-def test_half_a_response_and_garbage_end_a_session_and_change_nothing(kind, mode):
-    async def play(environment):
+def test_a_truncated_or_corrupt_response_ends_the_session_and_leaves_the_list(kind, mode):
+    async def scenario(environment):
         for proxy in environment.proxies:
             proxy.set_mode(mode)
         environment.put(1, "draining")
@@ -146,11 +156,11 @@
         await environment.wait_until_current()
         assert environment.engines == {1: "draining", 2: "ready"}
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
-def test_a_watch_that_goes_silent_is_left_for_the_other_member():
-    async def play(environment):
+def test_a_silent_watch_is_replaced_by_one_at_the_other_member():
+    async def scenario(environment):
         for member in environment.members:
             last_index = environment.source.watcher.sessions.rotation.last_index
             member.silences_watches = last_index == environment.members.index(member)
@@ -161,27 +171,27 @@
             environment.counters["registry_resumes"] == 1 and environment.counters["registry_full_reads"] == 1
         )
 
-    run_scenario(play, "etcd")
+    run_scenario(scenario, "etcd")
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_member_that_is_behind_is_left(kind):
-    async def play(environment):
-        old = environment.store.copy()
+def test_a_lagging_member_is_abandoned(kind):
+    async def scenario(environment):
+        stale_store = environment.store.copy()
         environment.put(1, "draining")
         await environment.wait_until_current()
-        environment.members[environment.source.watcher.sessions.rotation.last_index].stale_store = old
+        environment.members[environment.source.watcher.sessions.rotation.last_index].stale_store = stale_store
         environment.proxies[environment.source.watcher.sessions.rotation.last_index].abort_connections()
         environment.put(2, "draining")
         await environment.wait_until_current()
         assert environment.engines == {1: "draining", 2: "draining"}
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
 @pytest.mark.parametrize("kind, cluster", [("etcd", 0), ("etcd", 7), ("consul", 0)])
-def test_a_registry_restored_from_a_backup_is_taken(kind, cluster):
-    async def play(environment):
+def test_the_list_of_a_registry_restored_from_a_backup_is_adopted(kind, cluster):
+    async def scenario(environment):
         backup = environment.store.copy()
         environment.put(1, "draining")
         environment.put(3)
@@ -194,11 +204,11 @@
             environment.engines == {1: "ready", 2: "ready"} and environment.counters["registry_restored"] == 1
         )
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
-def test_blocking_reads_refused_for_load_are_begun_anew_on_the_same_session():
-    async def play(environment):
+def test_throttled_blocking_queries_are_repeated_in_the_same_session():
+    async def scenario(environment):
         for member in environment.members:
             member.retry_after = 1
         environment.store.notify()
@@ -214,12 +224,12 @@
             environment.counters["registry_full_reads"] == 1 and environment.counters["registry_breaks"] == 0
         )
 
-    run_scenario(play, "consul")
+    run_scenario(scenario, "consul")
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_refused_credentials_are_logged_and_accepted_once_they_are_right(kind):
-    async def play(environment):
+def test_rejected_credentials_are_counted_and_tried_again_after_a_reload(kind):
+    async def scenario(environment):
         for member in environment.members:
             member.rejects_credentials = True
         for proxy in environment.proxies:
@@ -234,27 +244,28 @@
         await environment.wait_until_current()
         assert environment.engines[1] == "draining"
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_tls_with_a_client_certificate_and_without_the_right_one(kind, tmp_path):
-    ours, other = trustme.CA(), trustme.CA()
+def test_tls_accepts_only_a_client_certificate_of_the_trusted_authority(kind, tmp_path):
+    trusted = trustme.CA()
+    untrusted = trustme.CA()
     paths = {}
-    for name, authority in (("ours", ours), ("other", other)):
-        made = authority.issue_cert("client.example.org")
+    for name, authority in (("trusted", trusted), ("untrusted", untrusted)):
+        certificate = authority.issue_cert("client.example.org")
         paths[name] = {"cert": str(tmp_path / f"{name}.crt"), "key": str(tmp_path / f"{name}.key")}
-        made.private_key_pem.write_to_path(paths[name]["key"])
-        made.cert_chain_pems[0].write_to_path(paths[name]["cert"])
-    ours.cert_pem.write_to_path(str(tmp_path / "ca.crt"))
+        certificate.private_key_pem.write_to_path(paths[name]["key"])
+        certificate.cert_chain_pems[0].write_to_path(paths[name]["cert"])
+    trusted.cert_pem.write_to_path(str(tmp_path / "ca.crt"))
     server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     server.set_alpn_protocols(["h2" if kind == "etcd" else "http/1.1"])
     server.verify_mode = ssl.CERT_REQUIRED
-    ours.configure_trust(server)
-    ours.issue_cert("127.0.0.1").configure_cert(server)
+    trusted.configure_trust(server)
+    trusted.issue_cert("127.0.0.1").configure_cert(server)
 
     async def run():
-        environment = RegistryEnvironment(kind, tls={"ca": str(tmp_path / "ca.crt")} | paths["other"])
+        environment = RegistryEnvironment(kind, tls={"ca": str(tmp_path / "ca.crt")} | paths["untrusted"])
         await environment.members[0].start(server)
         environment.proxies = [environment.members[0]]
         environment.put(1)
@@ -262,7 +273,7 @@
         await environment.wait_until(lambda: environment.counters["registry_breaks"] >= 2)
         assert environment.engines == {}
         environment.source.reconfigure(
-            environment.settings(tls={"ca": str(tmp_path / "ca.crt")} | paths["ours"])
+            environment.settings(tls={"ca": str(tmp_path / "ca.crt")} | paths["trusted"])
         )
         await environment.wait_until_current()
         assert environment.engines == {1: "ready"}
@@ -272,7 +283,7 @@
     asyncio.run(run())
 
 
-def test_user_and_password_fetch_a_token():
+def test_user_and_password_are_exchanged_for_a_token():
     async def run():
         environment = RegistryEnvironment("etcd", user="ops", password="pw-ops")
         for member in environment.members:
@@ -293,13 +304,15 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_value_of_50_mb_is_not_taken_into_memory_and_ends_with_it(kind):
-    async def play(environment):
+def test_a_value_of_50_mb_is_not_read_and_ends_sessions_until_it_is_replaced(kind):
+    async def scenario(environment):
         environment.store.put(b"p/1", b"x" * 50_000_000)
-        lost = ("registry_breaks", "registry_stalls")  # the stand-in shares the loop and is slow with it
+        # The fake shares the event loop and is slow to send the value, so that sessions may also stall.
+        failures = ("registry_breaks", "registry_stalls")
         await environment.wait_until(
             lambda: (
-                sum(environment.counters[name] for name in lost) >= 2 and not environment.source.is_fresh()
+                sum(environment.counters[name] for name in failures) >= 2
+                and not environment.source.is_fresh()
             )
         )
         assert environment.engines == {1: "ready", 2: "ready"}
@@ -308,12 +321,12 @@
         await environment.wait_until_current()
         assert environment.engines == {1: "draining", 2: "ready"}
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_burst_of_10_000_changes_and_a_list_read_in_pages(kind):
-    async def play(environment):
+def test_a_burst_of_10_000_changes_and_a_full_read_in_pages(kind):
+    async def scenario(environment):
         for number in range(1, 2501):
             for state in ("ready", "draining", "ready", "draining"):
                 environment.put(number, state)
@@ -325,22 +338,22 @@
         await environment.wait_until_current()
         assert environment.engines[1] == "ready" and len(environment.engines) == 2500
 
-    run_scenario(play, kind, fresh=2.0)
+    run_scenario(scenario, kind, fresh=2.0)
 
 
-def test_a_lease_that_runs_out_takes_its_engine_away():
-    async def play(environment):
+def test_an_engine_is_removed_when_its_lease_expires():
+    async def scenario(environment):
         environment.store.put(b"p/3", record(3), lease_seconds=0.05)
         await environment.wait_until(lambda: 3 in environment.engines)
         await environment.wait_until(lambda: 3 not in environment.engines)
         await environment.wait_until_current()
 
-    run_scenario(play, "etcd")
+    run_scenario(scenario, "etcd")
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_other_members_are_followed_from_the_same_revision(kind):
-    async def play(environment):
+def test_replaced_members_are_watched_from_the_same_revision(kind):
+    async def scenario(environment):
         extra = FaultyProxy(environment.members[1].address, Random(2))
         await extra.start()
         try:
@@ -354,11 +367,11 @@
         finally:
             await extra.stop()
 
-    run_scenario(play, kind)
+    run_scenario(scenario, kind)
 
 
-def test_a_start_from_the_snapshot_serves_it_unconfirmed_and_resumes_without_a_full_read(tmp_path):
-    async def play(environment):
+def test_a_stored_snapshot_is_published_unconfirmed_and_resumed_without_a_full_read(tmp_path):
+    async def scenario(environment):
         environment.put(1, "draining")
         await environment.wait_until_current()
         await environment.source.stop()
@@ -377,24 +390,24 @@
             and environment.counters["registry_snapshot_used"] == 1
         )
 
-    run_scenario(play, "etcd", snapshot=str(tmp_path / "kept"), on_stale="serve")
+    run_scenario(scenario, "etcd", snapshot=str(tmp_path / "store"), on_stale="serve")
 
 
-def test_a_torn_a_foreign_and_no_snapshot_are_distinguished(tmp_path):
-    folder = str(tmp_path / "kept")
-    kept = SnapshotStore(folder, "etcd:p/")
-    assert kept.load() is None
-    kept.save(5, [("p/1", 5, record(1))])
-    assert kept.load().revision == 5
-    kept.registry = "etcd:q/"
+def test_a_torn_a_foreign_and_a_missing_snapshot_are_distinguished(tmp_path):
+    folder = str(tmp_path / "store")
+    store = SnapshotStore(folder, "etcd:p/")
+    assert store.load() is None
+    store.save(5, [("p/1", 5, record(1))])
+    assert store.load().revision == 5
+    store.registry = "etcd:q/"
     with pytest.raises(SnapshotError, match="q/"):
-        kept.load()
-    with kept.environment.begin(write=True) as transaction:
+        store.load()
+    with store.environment.begin(write=True) as transaction:
         transaction.put(b"list", transaction.get(b"list")[:-1])
     with pytest.raises(SnapshotError, match="torn"):
-        kept.load()
-    kept.close()
-    (tmp_path / "file").write_text("no folder")
+        store.load()
+    store.close()
+    (tmp_path / "file").write_text("not a directory")
     with pytest.raises(SnapshotError, match="file"):
         SnapshotStore(str(tmp_path / "file"), "etcd:p/")
 
@@ -414,7 +427,7 @@
         ({"on_stale": "wait"}, "registry.on_stale"),
     ],
 )
-def test_settings_that_cannot_be_used_name_their_key(change, key):
+def test_the_error_of_an_invalid_setting_names_its_key(change, key):
     with pytest.raises(registry_settings.RegistrySettingsError, match=key) as caught:
         registry_settings.read_settings({"kind": "etcd", "addresses": ["h:1"]} | change)
     assert caught.value.key.startswith("registry")
@@ -422,7 +435,12 @@
 
 
 def run_drain_behind_stalled_members(kind, *fault):
-    """A drain that falls into a silence of all members, with compaction behind it, under the real program."""
+    """Run the real program while engines are drained and the history is compacted behind stalled members.
+
+    Returns:
+        The longest time that a drain took to have effect in s, the number of wrong lists, and the clients'
+        statistics.
+    """
 
     async def run():
         environment = ScenarioEnvironment(kind, Random(3), ("tests.planted", *fault) if fault else ())
@@ -449,13 +467,13 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_program_sends_nothing_new_to_a_drain_that_it_could_not_learn_of(kind):
+def test_the_program_sends_no_new_requests_while_it_cannot_learn_of_a_drain(kind):
     lag, wrong, answers = run_drain_behind_stalled_members(kind)
     assert lag <= 0.5 and wrong == 0
     assert answers["lost"] == answers["twice"] == 0 and answers["served"] > 30
 
 
-def test_the_harness_detects_a_program_that_does_not_watch_staleness():
+def test_the_harness_detects_a_program_that_ignores_staleness():
     lag, _, _ = run_drain_behind_stalled_members("etcd", "staleness")
     assert lag > 0.5
 
@@ -465,21 +483,21 @@
     assert wrong == 1
 
 
-def test_past_the_deadline_of_hold_new_work_is_refused_at_once_until_the_list_is_confirmed():
+def test_after_the_hold_time_new_requests_are_rejected_immediately_until_the_list_is_confirmed():
     async def run():
         environment = ScenarioEnvironment("etcd", Random(5))
         try:
             await environment.start()
             for proxy in environment.proxies:
                 proxy.set_mode(ProxyMode.STALL)
-            async with asyncio.timeout(BOUND):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while not (await environment.program.counters()).get("unconfirmed"):
                     environment.clients.send("lookup")
                     await asyncio.sleep(0.1)
             late = environment.clients.send("lookup")
             await environment.clients.settle()
             await environment.reach_quiet_point()
-            async with asyncio.timeout(BOUND):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 while environment.clients.sent[-1].answers != ["served"]:
                     environment.clients.send("lookup")
                     await environment.clients.settle()
