--- a/applevale/discovery/registry/failover.py
+++ b/applevale/discovery/registry/failover.py
@@ -1,6 +1,6 @@
-"""Failover of a registry watcher: when a session has failed, and when the standby session replaces it.
+"""Failover of a registry watcher to another session, if the active one fails or is too slow.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     Attributes:
         watched_list: The watched list with its revision; read only.
         sessions: The active session and the standby session.
-        stats: Numbers of events.
+        stats: Counts of events.
     """
 
     def __init__(self, watched_list: WatchedList, sessions: SessionSupervisor, stats: WatcherStats):
@@ -34,7 +34,7 @@
         if self.sessions.is_standby(session_id):
             self.sessions.fail_standby(now)
             return []
-        if self.sessions.find(session_id) is None:
+        if self.sessions.find_active(session_id) is None:
             return []
         if credentials_rejected:
             self.stats.refused += 1
--- a/applevale/discovery/registry/loop_lag.py
+++ b/applevale/discovery/registry/loop_lag.py
@@ -1,6 +1,6 @@
 """Detection of an event loop that runs late.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -1,6 +1,6 @@
-"""Timing of the requests of a registry watcher: polls, backoff and timeouts.
+"""Timing of a registry watcher's requests: polls, backoff and timeouts.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from .watcher_config import WatcherConfig
 
 MIN_CONSECUTIVE_FAST_RESPONSES = 10  # From this number on the service as a whole counts as fast.
-STANDBY_DELAY_PER_LATENESS = 10.0
+STANDBY_DELAY_PER_LATENESS = 10.0  # Ratio of the additional delay to the lateness of the event loop.
 MIN_POLL_INTERVAL_RATIO = 0.9  # Lowest ratio of the shortest to the longest poll interval.
 POLL_DEADLINE_SHARE = 0.9  # Share of `max_staleness` within which the response to a poll is expected.
 SEVERE_STALENESS_FACTOR = 1.5  # Beyond this multiple of `max_staleness`, even fast responses are violations.
--- a/applevale/discovery/registry/request_scheduler.py
+++ b/applevale/discovery/registry/request_scheduler.py
@@ -1,6 +1,6 @@
 """Scheduling of the requests of a registry watcher's active session, including repetition.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     Attributes:
         watched_list: The watched list with its revision; read only.
         pacer: Timing of polls and backoff.
-        stats: Numbers of events.
+        stats: Counts of events.
     """
 
     def __init__(self, watched_list: WatchedList, pacer: RequestPacer, stats: WatcherStats):
@@ -41,7 +41,7 @@
         delay = self.pacer.snapshot_delay()
         if not delay:
             return [command]
-        session.delay(command, now + delay)
+        session.delay_command(command, now + delay)
         return []
 
     def take_delayed_command(self, now: float, session: SessionState) -> Command:
@@ -65,10 +65,10 @@
         self.stats.declined += 1
         retry_at = self.pacer.record_throttled(now, retry_after)
         if session.phase is not SessionPhase.WATCHING:
-            session.delay(self._opening_request(session), retry_at)
+            session.delay_command(self._opening_request(session), retry_at)
             session.last_progress_at = now
         elif is_watch:
-            session.delay(self._watch(session), retry_at)
+            session.delay_command(self._watch(session), retry_at)
         else:
             session.cancel_poll()
             session.next_poll_at = max(retry_at, self.pacer.next_poll_at(now))
--- a/applevale/discovery/registry/session_state.py
+++ b/applevale/discovery/registry/session_state.py
@@ -1,6 +1,6 @@
 """State of one session of a registry watcher.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -82,8 +82,8 @@
             return self.poll_sent_at if self.phase is SessionPhase.WATCHING else inf
         return self.started_at if self.phase is SessionPhase.CONNECTING else self.unconfirmed_since
 
-    def delay(self, command: Command, until: float) -> None:
-        """Schedule a command for the end of a backoff."""
+    def delay_command(self, command: Command, until: float) -> None:
+        """Hold a command back until the end of a backoff."""
         self.delayed_command = command
         self.delayed_until = until
 
--- a/applevale/discovery/registry/session_supervisor.py
+++ b/applevale/discovery/registry/session_supervisor.py
@@ -1,6 +1,6 @@
-"""The active session and the standby session of a registry watcher.
+"""Lifecycle of the active session and the standby session of a registry watcher.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         """Phase of the active session; None during a backoff."""
         return None if self.active is None else self.active.phase
 
-    def find(self, session_id: int, phase: SessionPhase | None = None) -> SessionState | None:
+    def find_active(self, session_id: int, phase: SessionPhase | None = None) -> SessionState | None:
         """Return the active session if it has this number and, if given, this phase; None otherwise."""
         session = self.active
         if session is None or session.session_id != session_id:
--- a/applevale/discovery/registry/standby_limiter.py
+++ b/applevale/discovery/registry/standby_limiter.py
@@ -1,6 +1,6 @@
 """Limit on how often a registry watcher opens standby sessions.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
--- a/applevale/discovery/registry/synchronizer.py
+++ b/applevale/discovery/registry/synchronizer.py
@@ -1,6 +1,6 @@
 """Synchronization of the watched list with the registry.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
         pacer: Polls and backoff, with the staleness guard.
         loop_lag: Lateness of the event loop.
         requests: Sends the requests of the active session.
-        stats: Numbers of events.
+        stats: Counts of events.
         resumable: Whether a watch can continue the list of an earlier session.
     """
 
--- a/applevale/discovery/registry/watcher.py
+++ b/applevale/discovery/registry/watcher.py
@@ -57,7 +57,7 @@
         pacer: Timing of polls, backoff and timeouts, with the staleness guard.
         loop_lag: Lateness of the event loop.
         sessions: The active session and the standby session.
-        stats: Numbers of events.
+        stats: Counts of events.
         requests: Sends and repeats the requests of the active session.
         failover: Handles timeouts of sessions and takeovers by the standby session.
         synchronizer: Keeps the list up to date over the active session.
@@ -98,7 +98,7 @@
             self.watched_list, self.sessions, self.requests, self.stats, resumable=resumable
         )
 
-    # --- state ----------------------------------------------------------------------------------------------
+    # --- State ----------------------------------------------------------------------------------------------
 
     @property
     def session(self) -> SessionState | None:
@@ -131,7 +131,7 @@
         """Return the time by which `on_tick` has to be called."""
         return self.sessions.next_deadline(self.watched_list.confirmed_at)
 
-    # --- events ---------------------------------------------------------------------------------------------
+    # --- Events ---------------------------------------------------------------------------------------------
 
     def restore(self, revision: int, records: Iterable[KeyValuePair]) -> list[Command]:
         """Publish a stored list, which is not confirmed; the first session resumes from its revision."""
@@ -166,7 +166,7 @@
         if the identity is unknown.
         """
         self.loop_lag.record_event(now)
-        session = self.sessions.find(session_id, SessionPhase.CONNECTING)
+        session = self.sessions.find_active(session_id, SessionPhase.CONNECTING)
         if self.sessions.is_standby(session_id):
             standby = self.sessions.standby
             is_promoted = self.failover.replace_by_faster_standby(now, standby, revision, cluster_id)
@@ -187,7 +187,7 @@
         if self.sessions.is_standby(session_id):
             self.failover.drop_slow_standby()
             return []
-        session = self.sessions.find(session_id)
+        session = self.sessions.find_active(session_id)
         if session is not None:
             self.requests.repeat_throttled(now, session, retry_after, is_watch)
         return []
@@ -208,7 +208,7 @@
     ) -> list[Command]:
         """Handle the response to a full read, which returned all records as of `revision`."""
         self.loop_lag.record_event(now)
-        session = self.sessions.find(session_id, SessionPhase.READING)
+        session = self.sessions.find_active(session_id, SessionPhase.READING)
         if session is None:
             return []
         return self.synchronizer.apply_snapshot(now, session, requested_at, revision, records)
@@ -225,7 +225,7 @@
         The watch has delivered all events up to `revision`.
         """
         self.loop_lag.record_event(now)
-        session = self.sessions.find(session_id, SessionPhase.WATCHING)
+        session = self.sessions.find_active(session_id, SessionPhase.WATCHING)
         if session is None:
             return []
         return self.synchronizer.apply_events(now, session, revision, events)
@@ -233,7 +233,7 @@
     def on_revision(self, now: float, session_id: int, requested_at: float, revision: int) -> list[Command]:
         """Handle the response to a poll, which returned the registry's revision."""
         self.loop_lag.record_event(now)
-        session = self.sessions.find(session_id, SessionPhase.WATCHING)
+        session = self.sessions.find_active(session_id, SessionPhase.WATCHING)
         if session is None:
             return []
         return self.synchronizer.handle_poll_response(now, session, requested_at, revision)
@@ -241,7 +241,7 @@
     def on_compacted(self, now: float, session_id: int) -> list[Command]:
         """Handle a watch that cannot continue, because the events after its revision were compacted."""
         self.loop_lag.record_event(now)
-        session = self.sessions.find(session_id, SessionPhase.WATCHING)
+        session = self.sessions.find_active(session_id, SessionPhase.WATCHING)
         if session is None:
             return []
         self.stats.compactions += 1
--- a/applevale/startup/adaptive_backoff.py
+++ b/applevale/startup/adaptive_backoff.py
@@ -4,8 +4,7 @@
 Invariants:
 
 - A fast service is called without delay: the window is zero until responses are slow or throttled.
-- Each delay is drawn anew from the whole window, so that instances that sent requests at the same time spread
-  out.
+- Each delay is drawn anew from the whole window, so that instances that are in step spread out.
 - The delay that a throttling response asks for (`Retry-After`) is a minimum. The jitter is added to it, since
   all instances may have received the same value.
 
@@ -16,7 +15,7 @@
 
 from dataclasses import dataclass
 
-SLOW_RESPONSE_SECONDS = 0.1  # Shortest duration of a short read that counts as slow.
+SLOW_RESPONSE_SECONDS = 0.1  # A short read that takes longer counts as slow.
 SLOW_RESPONSES_TO_WIDEN = 2  # A single slow response may be due to the network.
 WINDOW_PER_LATENCY = 4.0  # Ratio of the window to the duration of a slow response.
 MIN_WINDOW_SECONDS = 0.25
