--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -66,8 +66,8 @@
             poll_rate = 1 / (watcher.config.max_poll_interval_share * bound)
             log_event(
                 "promise",
-                f"the staleness bound of {bound:g} s cannot be kept: it needs {poll_rate:.1f} reads a second "
-                f"with responses in {watcher.pacer.guard.response_budget * 1000:.0f} ms; the mean latency "
+                f"the staleness bound of {bound:g} s cannot be kept: it needs {poll_rate:.1f} reads a second, "
+                f"each with a response within {watcher.pacer.guard.response_budget * 1000:.0f} ms; the mean latency "
                 f"is {watcher.pacer.latency.mean * 1000:.0f} ms, and {watcher.stats.declined} requests were "
                 f"throttled so far; on_stale={on_stale!r} applies until it can be kept",
             )
--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -124,8 +124,8 @@
         longest = config.max_poll_interval_share * config.max_staleness
         # The mean is used rather than an upper bound: polling more often after each single late response
         # would slow down a busy service further.
-        timely = config.max_staleness * POLL_DEADLINE_SHARE - self.latency.mean
-        longest = max(shortest, min(longest, timely))
+        timely_interval = config.max_staleness * POLL_DEADLINE_SHARE - self.latency.mean
+        longest = max(shortest, min(longest, timely_interval))
         shortest = max(shortest, MIN_POLL_INTERVAL_RATIO * longest)
         return sent_at + shortest + random_value * (longest - shortest)
 
--- a/applevale/discovery/registry/watcher_driver.py
+++ b/applevale/discovery/registry/watcher_driver.py
@@ -137,7 +137,7 @@
         member = self.sessions.member_name(session_id)
         log_event(
             "registry",
-            f"{member}: revisions after {self.watcher.revision} were compacted; reading a full snapshot",
+            f"{member}: events after revision {self.watcher.revision} were compacted; reading all records",
         )
         self._execute(self.watcher.on_compacted(self._clock(), session_id))
 
