--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -64,12 +64,15 @@
         bound = watcher.config.max_staleness
         if previous_state is GuardState.ACTIVE:
             poll_rate = 1 / (watcher.config.max_poll_interval_share * bound)
+            budget_ms = watcher.pacer.guard.response_budget * 1000
+            latency_ms = watcher.pacer.latency.mean * 1000
             log_event(
                 "promise",
-                f"the staleness bound of {bound:g} s cannot be kept: it needs {poll_rate:.1f} reads a second, "
-                f"each with a response within {watcher.pacer.guard.response_budget * 1000:.0f} ms; the mean latency "
-                f"is {watcher.pacer.latency.mean * 1000:.0f} ms, and {watcher.stats.declined} requests were "
-                f"throttled so far; on_stale={on_stale!r} applies until it can be kept",
+                f"the staleness bound of {bound:g} s cannot be kept: "
+                f"it needs {poll_rate:.1f} reads a second, each with a response within {budget_ms:.0f} ms; "
+                f"the mean latency is {latency_ms:.0f} ms, "
+                f"and {watcher.stats.declined} requests were throttled so far; "
+                f"on_stale={on_stale!r} applies until it can be kept",
             )
         elif self.reported_state is GuardState.ACTIVE:
             log_event("promise", f"the staleness bound of {bound:g} s is kept again")
