--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -13,7 +13,7 @@
 from ...startup.staleness_guard import GuardState, StalenessGuard
 from .watcher_config import WatcherConfig
 
-MIN_CONSECUTIVE_FAST_RESPONSES = 10  # From this number on the service as a whole counts as fast.
+MIN_CONSECUTIVE_FAST_RESPONSES = 10  # After these the service counts as fast.
 STANDBY_DELAY_PER_LATENESS = 10.0  # Ratio of the additional delay to the lateness of the event loop.
 MIN_POLL_INTERVAL_RATIO = 0.9  # Lowest ratio of the shortest to the longest poll interval.
 POLL_DEADLINE_SHARE = 0.9  # Share of `max_staleness` within which the response to a poll is expected.
--- a/applevale/discovery/registry/session.py
+++ b/applevale/discovery/registry/session.py
@@ -113,16 +113,16 @@
         self.tasks: set[asyncio.Task] = set()
         self.is_closed = False
 
-    def spawn(self, work: Coroutine[object, object, None]) -> None:
-        """Run `work` as a task of this session."""
-        task = asyncio.create_task(self._guard(work))
+    def spawn(self, request: Coroutine[object, object, None]) -> None:
+        """Run a request as a task of this session."""
+        task = asyncio.create_task(self._run(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _guard(self, work: Coroutine[object, object, None]) -> None:
-        """Report every error to the listener, since libraries may raise any error on invalid input."""
+    async def _run(self, request: Coroutine[object, object, None]) -> None:
+        """Run a request, and report every error to the listener: libraries may raise any on invalid input."""
         try:
-            await work
+            await request
         except ThrottledError as error:
             if not self.is_closed:
                 self.listener.on_throttled(self.session_id, error.retry_after, error.is_watch)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -109,8 +109,8 @@
     finally:
         if environment.source is not None:
             await environment.source.stop()
-        for part in (*environment.proxies, *environment.members):
-            await part.stop()
+        for server in (*environment.proxies, *environment.members):
+            await server.stop()
 
 
 def run_scenario(scenario, kind, **more_settings):
@@ -297,8 +297,8 @@
         await environment.wait_until_current()
         assert environment.engines == {1: "ready"}
         await environment.source.stop()
-        for part in (*environment.proxies, *environment.members):
-            await part.stop()
+        for server in (*environment.proxies, *environment.members):
+            await server.stop()
 
     asyncio.run(run())
 
