--- a/applevale/discovery/gated_endpoints.py
+++ b/applevale/discovery/gated_endpoints.py
@@ -3,7 +3,8 @@
 Invariants:
 
 - While the list is stale, no engine is presented as ready, so that no new requests are sent. Requests in
-  flight continue. Once the list is confirmed again, all engines are presented with their true states.
+  flight continue. Once the list is confirmed again, all engines are presented anew, with the changes that
+  happened in the meantime.
 - An engine in `ejected` is never presented as ready, whatever its source reports.
 - An engine in `awaiting_connect_slot` is not presented as ready, since no connection to it may be opened yet.
 
--- a/applevale/discovery/registry/snapshot.py
+++ b/applevale/discovery/registry/snapshot.py
@@ -157,7 +157,7 @@
             self.save(now, revision)
 
     def save(self, now: float, revision: int) -> None:
-        """Save the list at once if it has changed and has a revision."""
+        """Save the list immediately if it has changed and has a revision."""
         if not self.has_changes or not revision:
             return
         self.last_saved_at = now
