--- a/applevale/discovery/registry/request_scheduler.py
+++ b/applevale/discovery/registry/request_scheduler.py
@@ -1,6 +1,6 @@
-"""Requests of a registry watcher's active session: when each is sent, and when it is repeated.
+"""Scheduling of the requests of a registry watcher's active session, including repetition.
 
-No I/O and no clock: callers pass the time. Times and durations are in seconds.
+The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class RequestScheduler:
-    """Sends requests over the active session, after a backoff where the service is slow or throttles.
+    """Sends requests over the active session, after a backoff if the service is slow or throttles requests.
 
     Attributes:
         watched_list: The watched list with its revision; read only.
-        pacer: Polls and backoff.
-        stats: Numbers of events.
+        pacer: Timing of polls and backoff.
+        stats: Counts of events.
     """
 
     def __init__(self, watched_list: WatchedList, pacer: RequestPacer, stats: WatcherStats):
-        """Create a scheduler; all objects are shared with the watcher."""
+        """Create a scheduler. The watcher and its other parts share all objects."""
         self.watched_list = watched_list
         self.pacer = pacer
         self.stats = stats
@@ -33,7 +33,7 @@
         return [PollRevision(session.session_id, now)]
 
     def read_snapshot(self, now: float, session: SessionState) -> list[Command]:
-        """Read all records, after a delay if the service is slow or throttles."""
+        """Read all records, after a delay if the service is slow or throttles requests."""
         session.phase = SessionPhase.READING
         session.last_progress_at = now
         session.cancel_poll()
@@ -41,20 +41,20 @@
         delay = self.pacer.snapshot_delay()
         if not delay:
             return [command]
-        session.delay(command, now + delay)
+        session.delay_command(command, now + delay)
         return []
 
     def take_delayed_command(self, now: float, session: SessionState) -> Command:
-        """Return the delayed command of a session, whose backoff is over."""
+        """Return the delayed command of a session at the end of its backoff."""
         command = session.take_delayed_command()
-        if isinstance(command, Watch):  # the list may have advanced during the backoff
+        if isinstance(command, Watch):  # The list may have advanced during the backoff.
             return self._watch(session)
         session.started_at = now
         session.last_progress_at = now
         return command
 
     def repeat_throttled(self, now: float, session: SessionState, retry_after: float, is_watch: bool) -> None:
-        """Schedule a request anew that the member throttled.
+        """Schedule the repetition of a request that the member throttled.
 
         Args:
             now: Time of the response.
@@ -65,10 +65,10 @@
         self.stats.declined += 1
         retry_at = self.pacer.record_throttled(now, retry_after)
         if session.phase is not SessionPhase.WATCHING:
-            session.delay(self._opening_request(session), retry_at)
+            session.delay_command(self._opening_request(session), retry_at)
             session.last_progress_at = now
         elif is_watch:
-            session.delay(self._watch(session), retry_at)
+            session.delay_command(self._watch(session), retry_at)
         else:
             session.cancel_poll()
             session.next_poll_at = max(retry_at, self.pacer.next_poll_at(now))
