--- a/applevale/membership/anti_entropy.py
+++ b/applevale/membership/anti_entropy.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from .codec import HEADER, MAX_DATAGRAM_BYTES, MAX_SEGMENT_RECORDS, MEMBER_UPDATE
-from .config import HELP_RESERVE_BYTES, MAX_CHURN_SECONDS, MAX_SEGMENTS_PER_SYNC
+from .config import HELP_RESERVE_BYTES, MAX_SEGMENTS_PER_SYNC, MAX_SYNC_DELAY_SECONDS
 from .context import ProtocolContext
 from .messages import MemberUpdate, Message
 from .sender import MessageSender
@@ -31,7 +31,7 @@
         interval = self._config.sync_interval
         elapsed = now - self._synced_at
         is_changing = now - self._view.changed_at < interval
-        if elapsed < interval or (is_changing and elapsed < MAX_CHURN_SECONDS):
+        if elapsed < interval or (is_changing and elapsed < MAX_SYNC_DELAY_SECONDS):
             return
         if self._sender.send_segment_digests(now, sender):
             self._synced_at = now
--- a/applevale/membership/codec.py
+++ b/applevale/membership/codec.py
@@ -49,7 +49,7 @@
 _MEMBER_UPDATE_TAG = 255
 
 
-class MessageError(ValueError):
+class MalformedDatagramError(ValueError):
     """A datagram that is no valid message."""
 
 
@@ -104,12 +104,12 @@
     """Return the message of a datagram.
 
     Raises:
-        MessageError: The bytes are no valid message. Nothing else is raised, whatever the bytes.
+        MalformedDatagramError: The bytes are no valid message. Nothing else is raised, whatever the bytes.
     """
     try:
         return _decode(data)
     except (struct.error, ValueError) as error:
-        raise MessageError(f"{len(data)} bytes: {error}") from None
+        raise MalformedDatagramError(f"{len(data)} bytes: {error}") from None
 
 
 def _pack_record(record: MemberRecord) -> int:
@@ -133,12 +133,12 @@
 
 def _decode(data: bytes) -> Message:
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MessageError("too long")
+        raise MalformedDatagramError("too long")
     (magic, kind, sequence_number, incarnation, process_id, packed_receiver, receiver_process_id, digest) = (
         HEADER.unpack_from(data)
     )
     if magic != MAGIC or incarnation > MAX_INCARNATION:
-        raise MessageError("no header")
+        raise MalformedDatagramError("no header")
     kind = MessageKind(kind)
     return Message(
         kind,
@@ -169,7 +169,7 @@
     """Return the first member and the records."""
     first_member, count = SEGMENT_HEADER.unpack_from(body)
     if len(body) != SEGMENT_HEADER.size + count * SEGMENT_RECORD.size:
-        raise MessageError("a segment of another length")
+        raise MalformedDatagramError("a segment of another length")
     entries = SEGMENT_RECORD.iter_unpack(body[SEGMENT_HEADER.size :])
     return first_member, tuple(_unpack_record(packed, process_id) for packed, process_id in entries)
 
@@ -186,7 +186,7 @@
             count, member, incarnation, age = SUSPICION_UPDATE.unpack_from(body, offset)
             offset += SUSPICION_UPDATE.size
             if count > MAX_OBSERVERS:
-                raise MessageError("an update of an unknown kind")
+                raise MalformedDatagramError("an update of an unknown kind")
             observers = struct.unpack_from(f">{count}H", body, offset)
             offset += OBSERVER_BYTES * count
             updates.append(SuspicionUpdate(member, incarnation, age * AGE_UNIT_SECONDS, observers))
--- a/applevale/membership/parts.py
+++ b/applevale/membership/components.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class SharedParts:
+class SharedComponents:
     """The state and the sender of one protocol instance.
 
     Attributes:
@@ -37,7 +37,7 @@
     local: LocalMember
 
 
-def create_shared_parts(context: ProtocolContext, rate_limiter: SenderRateLimiter) -> SharedParts:
+def create_shared_components(context: ProtocolContext, rate_limiter: SenderRateLimiter) -> SharedComponents:
     """Return the parts of a joining member that knows nobody."""
     suspicions = SuspicionTable(context.config, context.view)
     broadcasts = BroadcastQueue(context.config, context.view, suspicions)
@@ -46,4 +46,4 @@
     health = LocalHealth(context)
     probes = ProbeTable(context, sender, health)
     local = LocalMember(context, store, sender, health, probes)
-    return SharedParts(suspicions, broadcasts, store, sender, health, probes, local)
+    return SharedComponents(suspicions, broadcasts, store, sender, health, probes, local)
--- a/applevale/membership/config.py
+++ b/applevale/membership/config.py
@@ -12,7 +12,7 @@
 REFUTATION_FANOUT = 32  # members that are informed of a raised incarnation at once
 LEAVE_FANOUT = 12  # members that are informed of a leave at once
 JOIN_FANOUT = 4  # members that a joining member pings at once
-ENOUGH_JOIN_ANSWERS = 3  # after which a joining member waits no longer
+MIN_JOIN_ANSWERS = 3  # after which a joining member waits no longer
 
 # Bytes that a message of each kind leaves in the token bucket for those of higher priority: answers first,
 # then probes, gossip, and help for others.
@@ -27,9 +27,9 @@
 MAX_PIGGYBACK_SUSPICIONS = 3
 
 MAX_RELAYS = 1024  # members for which the helper that reached them is remembered
-DOUBT_WINDOW_SECONDS = 5.0  # for which members that could not be reached are remembered
-MAX_CHURN_SECONDS = 3.0  # for which records are not compared because the view keeps changing
-SOLITARY_PROBE_INTERVAL_SECONDS = 0.4  # of a member that knows no other one
+FALSE_SUSPICION_WINDOW_SECONDS = 5.0  # for which members that could not be reached are remembered
+MAX_SYNC_DELAY_SECONDS = 3.0  # for which records are not compared because the view keeps changing
+ALONE_PROBE_INTERVAL_SECONDS = 0.4  # of a member that knows no other one
 MAX_SEGMENTS_PER_SYNC = 3
 
 
--- a/applevale/membership/context.py
+++ b/applevale/membership/context.py
@@ -8,7 +8,7 @@
 from .commands import CommandQueue
 from .config import ProtocolConfig
 from .messages import MemberRecord, MemberState
-from .stats import Stats
+from .stats import MembershipStats
 from .view import MembershipView
 
 
@@ -39,5 +39,5 @@
     identity: LocalIdentity
     view: MembershipView
     random: Random
-    stats: Stats
+    stats: MembershipStats
     commands: CommandQueue
--- a/applevale/membership/dissemination.py
+++ b/applevale/membership/dissemination.py
@@ -83,7 +83,7 @@
     """Applies a record to the view, the suspicions and the broadcast queue, all at once."""
 
     def __init__(self, view: MembershipView, suspicions: SuspicionTable, broadcasts: BroadcastQueue):
-        """Create a store that writes to these parts."""
+        """Create a store that writes to these components."""
         self._view = view
         self._suspicions = suspicions
         self._broadcasts = broadcasts
--- a/applevale/membership/failure_detector.py
+++ b/applevale/membership/failure_detector.py
@@ -5,15 +5,15 @@
 from math import inf
 
 from .commands import LocalStatus
+from .components import SharedComponents
 from .config import (
+    ALONE_PROBE_INTERVAL_SECONDS,
     HELP_RESERVE_BYTES,
     JOIN_FANOUT,
     MAX_RELAYS,
-    SOLITARY_PROBE_INTERVAL_SECONDS,
 )
 from .context import ProtocolContext
 from .messages import Message
-from .parts import SharedParts
 from .probes import Probe
 from .suspicion_monitor import SuspicionMonitor
 
@@ -21,19 +21,19 @@
 class FailureDetector:
     """Probes one member after the other and reports those that do not answer."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts, monitor: SuspicionMonitor):
+    def __init__(self, context: ProtocolContext, components: SharedComponents, monitor: SuspicionMonitor):
         """Create a detector whose first round has yet to be drawn."""
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
         self._random = context.random
         self._stats = context.stats
-        self._suspicions = parts.suspicions
-        self._broadcasts = parts.broadcasts
-        self._sender = parts.sender
-        self._health = parts.health
-        self._probes = parts.probes
-        self._local = parts.local
+        self._suspicions = components.suspicions
+        self._broadcasts = components.broadcasts
+        self._sender = components.sender
+        self._health = components.health
+        self._probes = components.probes
+        self._local = components.local
         self._monitor = monitor
         self._probe_round: list[int] = []  # members that this round has yet to probe
         self._relays: dict[int, int] = {}  # member -> the helper that reached it last
@@ -49,7 +49,7 @@
         if self._health.status is LocalStatus.ISOLATED:
             self._probes.next_probe_at = now + 2 * interval
         else:
-            self._suspicions.discard_lapsed(now)
+            self._suspicions.discard_stale(now)
 
     def advance_probes(self, now: float) -> None:
         """Retry probes, ask helpers and give up, as each probe is due."""
@@ -70,7 +70,7 @@
         subject = message.subject
         if not self._view.contains(subject) or subject == self._identity.member:
             return
-        if not self._health.may_judge(now):
+        if not self._health.may_suspect_others(now):
             return
         if subject in self._suspicions.dead_members:
             update = self._broadcasts.update_for(now, subject)
@@ -81,7 +81,7 @@
         if suspicion is not None and self._identity.member in suspicion.observers:  # it failed already
             self._sender.send_ping_result(now, requester, message.sequence_number, subject, False)
         else:
-            self._probes.start_for(now, subject, requester, message.sequence_number)
+            self._probes.start_for_requester(now, subject, requester, message.sequence_number)
 
     def on_ack(self, now: float, sender: int, message: Message) -> None:
         """Handle the answer to a ping."""
@@ -98,7 +98,7 @@
         self._health.improve()
         self._suspicions.retract(now, sender, self._identity.member)
         if probe.requester is not None:
-            self._sender.send_ping_result(now, probe.requester, probe.request_number, sender, True)
+            self._sender.send_ping_result(now, probe.requester, probe.request_sequence_number, sender, True)
 
     def on_ping_result(self, now: float, helper: int, message: Message) -> None:
         """Handle a helper's answer."""
@@ -120,7 +120,7 @@
         for target in self._random.sample(others, min(JOIN_FANOUT, len(others))):
             self._sender.send_ping(now, target, self._probes.next_sequence_number())
         if self._health.status is not LocalStatus.JOINING:  # members that start announce themselves
-            self._probes.next_probe_at = now + SOLITARY_PROBE_INTERVAL_SECONDS
+            self._probes.next_probe_at = now + ALONE_PROBE_INTERVAL_SECONDS
 
     def _next_subject(self) -> int:
         """Return the next member to probe, in rounds of random order."""
@@ -159,15 +159,15 @@
         self._stats.failed += 1
         local_member = self._identity.member
         if probe.requester is not None:
-            if self._health.may_judge(now):
+            if self._health.may_suspect_others(now):
                 self._sender.send_ping_result(
-                    now, probe.requester, probe.request_number, probe.subject, False
+                    now, probe.requester, probe.request_sequence_number, probe.subject, False
                 )
                 self._monitor.suspect(now, probe.subject, probe.incarnation, (local_member,))
             return
         if not probe.is_verification and probe.helper_count and not probe.failed_helpers:
             self._health.worsen()  # helpers did not answer either
-        if self._health.may_judge(now):
+        if self._health.may_suspect_others(now):
             self._health.record_unreachable(now, probe.subject)
             observers = (local_member, *probe.failed_helpers)
             self._monitor.suspect(now, probe.subject, probe.incarnation, observers)
--- a/applevale/membership/heartbeat.py
+++ b/applevale/membership/heartbeat.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from .commands import LocalStatus
+from .components import SharedComponents
 from .context import ProtocolContext
 from .messages import MemberState, MemberUpdate
-from .parts import SharedParts
 from .sender import UNLIMITED
 from .updates import UpdateHandler
 
@@ -13,13 +13,13 @@
 class HeartbeatDetector:
     """Sends heartbeats to all members, and declares dead those whose heartbeats are missing."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts, updates: UpdateHandler):
+    def __init__(self, context: ProtocolContext, components: SharedComponents, updates: UpdateHandler):
         """Create a detector that has received no heartbeat."""
         self._config = context.config
         self._view = context.view
-        self._sender = parts.sender
-        self._health = parts.health
-        self._probes = parts.probes
+        self._sender = components.sender
+        self._health = components.health
+        self._probes = components.probes
         self._updates = updates
         self._last_heartbeat_at: dict[int, float] = {}
 
@@ -40,8 +40,8 @@
             member for member in self._view.alive if now - self._last_heartbeat_at.get(member, now) > timeout
         ]
         if silent:
-            self._updates.remove_members(now, tuple(self._death_of(member) for member in silent))
+            self._updates.remove_members(now, tuple(self._death_update(member) for member in silent))
 
-    def _death_of(self, member: int) -> MemberUpdate:
+    def _death_update(self, member: int) -> MemberUpdate:
         record = self._view.table.records[member]
         return MemberUpdate(member, record.with_state(MemberState.DEAD))
--- a/applevale/membership/join_prober.py
+++ b/applevale/membership/join_prober.py
@@ -4,8 +4,8 @@
 
 from math import inf
 
+from .components import SharedComponents
 from .context import ProtocolContext
-from .parts import SharedParts
 
 MIN_RATE_PER_SECOND = 0.001
 
@@ -17,13 +17,13 @@
         next_join_at: When the next ping is due, in seconds; infinite while all members are alive.
     """
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts):
+    def __init__(self, context: ProtocolContext, components: SharedComponents):
         """Create a prober that waits to be scheduled."""
         self._config = context.config
         self._view = context.view
         self._random = context.random
-        self._sender = parts.sender
-        self._probes = parts.probes
+        self._sender = components.sender
+        self._probes = components.probes
         self.next_join_at = inf
 
     def schedule(self, now: float) -> None:
--- a/applevale/membership/local_health.py
+++ b/applevale/membership/local_health.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from .commands import LocalStatus, StatusChanged
-from .config import DOUBT_WINDOW_SECONDS, MAX_LOCAL_HEALTH_SCORE
+from .config import FALSE_SUSPICION_WINDOW_SECONDS, MAX_LOCAL_HEALTH_SCORE
 from .context import ProtocolContext
 
 
@@ -51,13 +51,13 @@
         """Whether this member takes no part: it left, or a later process has its place."""
         return self.status in (LocalStatus.LEFT, LocalStatus.SUPERSEDED)
 
-    def reset_clocks(self, now: float) -> None:
+    def reset_times(self, now: float) -> None:
         """Restart all clocks: events are in time and others in contact as of now."""
         self.last_event_at = now
         self.expected_at = now
-        self.reset_contact(now)
+        self.reset_contact_times(now)
 
-    def reset_contact(self, now: float) -> None:
+    def reset_contact_times(self, now: float) -> None:
         """Restart the clocks of contact: others send and answer as of now."""
         self.last_received_at = now
         self.last_answered_at = now
@@ -101,13 +101,13 @@
         del self._unreachable[member]
         self._false_suspicions[member] = now
 
-    def may_judge(self, now: float) -> bool:
+    def may_suspect_others(self, now: float) -> bool:
         """Return whether this member may suspect others and declare them dead."""
         if not self._config.monitors_itself:
             return True
         if self.status is not LocalStatus.HEALTHY or now < self.quiet_until:
             return False
-        return not self._doubts_itself(now)
+        return not self._has_many_false_suspicions(now)
 
     def check_contact(self, now: float, has_peers: bool) -> None:
         """Derive the status from the times of the last message and the last answer."""
@@ -123,12 +123,12 @@
         if self.status is LocalStatus.HEALTHY and now - self.last_answered_at > unanswered_timeout:
             self.set_status(LocalStatus.UNANSWERED)
 
-    def _doubts_itself(self, now: float) -> bool:
+    def _has_many_false_suspicions(self, now: float) -> bool:
         """Return whether several members taken as unreachable are alive, more than are not."""
         minimum = self._config.min_false_suspicions
         if len(self._false_suspicions) < minimum:
             return False
-        since = now - DOUBT_WINDOW_SECONDS
+        since = now - FALSE_SUSPICION_WINDOW_SECONDS
         self._unreachable = {member: at for member, at in self._unreachable.items() if at > since}
         self._false_suspicions = {member: at for member, at in self._false_suspicions.items() if at > since}
         return len(self._false_suspicions) >= max(minimum, len(self._unreachable))
--- a/applevale/membership/local_member.py
+++ b/applevale/membership/local_member.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from .commands import LocalStatus
-from .config import ENOUGH_JOIN_ANSWERS, LEAVE_FANOUT, REFUTATION_FANOUT
+from .config import LEAVE_FANOUT, MIN_JOIN_ANSWERS, REFUTATION_FANOUT
 from .context import ProtocolContext
 from .dissemination import MemberStore
 from .local_health import LocalHealth
@@ -64,7 +64,7 @@
 
     def try_join(self, now: float) -> None:
         """End the joining, with an incarnation above all that others know, once enough have answered."""
-        if now < self._join_deadline and len(self._join_answers) < ENOUGH_JOIN_ANSWERS:
+        if now < self._join_deadline and len(self._join_answers) < MIN_JOIN_ANSWERS:
             return
         self._health.set_status(LocalStatus.HEALTHY)
         self._health.start_quiet_period(now)
@@ -98,7 +98,7 @@
             self._probes.clear()
         elif status is LocalStatus.SUPERSEDED:
             if not record.is_alive:
-                self._take_place_back(now, record.incarnation)
+                self._resume(now, record.incarnation)
         elif self._contradicts(record):
             self.refute(now, record.incarnation)
 
@@ -109,10 +109,10 @@
             self._announce(now, LEAVE_FANOUT)
         self._health.set_status(LocalStatus.LEFT)
 
-    def _take_place_back(self, now: float, reported: int) -> None:
+    def _resume(self, now: float, reported: int) -> None:
         """Take part again: the later process has ended."""
         self._health.set_status(LocalStatus.HEALTHY)
-        self._health.reset_clocks(now)
+        self._health.reset_times(now)
         self._probes.next_probe_at = now
         self._health.start_quiet_period(now)
         self.refute(now, reported)
--- a/applevale/membership/probes.py
+++ b/applevale/membership/probes.py
@@ -25,7 +25,7 @@
         indirect_at: When helpers are asked; infinite once they were, and where none are.
         expires_at: When the probe has failed.
         requester: The member that this one helps; None for a probe of its own.
-        request_number: The sequence number of that member's request.
+        request_sequence_number: The sequence number of that member's request.
         helper_count: Helpers that were asked.
         failed_helpers: Helpers that could not reach the subject either.
         is_verification: Whether it verifies the suspicion of others, without helpers.
@@ -37,7 +37,7 @@
     indirect_at: float
     expires_at: float
     requester: int | None = None
-    request_number: int = 0
+    request_sequence_number: int = 0
     helper_count: int = 0
     failed_helpers: list[int] = field(default_factory=list)
     is_verification: bool = False
@@ -100,7 +100,9 @@
         )
         self._ping(now, probe, PROBE_RESERVE_BYTES)
 
-    def start_for(self, now: float, subject: int, requester: int, request_number: int) -> None:
+    def start_for_requester(
+        self, now: float, subject: int, requester: int, request_sequence_number: int
+    ) -> None:
         """Probe a member for another one."""
         probe = Probe(
             subject=subject,
@@ -109,7 +111,7 @@
             indirect_at=inf,
             expires_at=now + self._config.helper_probe_timeout,
             requester=requester,
-            request_number=request_number,
+            request_sequence_number=request_sequence_number,
         )
         self._ping(now, probe, HELP_RESERVE_BYTES)
 
--- a/applevale/membership/protocol.py
+++ b/applevale/membership/protocol.py
@@ -22,16 +22,16 @@
 
 from .anti_entropy import AntiEntropy
 from .commands import Command, CommandQueue, LocalStatus, StatusChanged
+from .components import create_shared_components
 from .config import ProtocolConfig
 from .context import LocalIdentity, ProtocolContext
 from .failure_detector import FailureDetector
 from .heartbeat import HeartbeatDetector
 from .join_prober import JoinProber
 from .messages import MemberUpdate, Message, MessageKind
-from .parts import create_shared_parts
 from .rate_limiter import SenderRateLimiter
 from .self_monitor import SelfMonitor
-from .stats import Stats
+from .stats import MembershipStats
 from .suspicion_monitor import SuspicionMonitor
 from .suspicion_verifier import SuspicionVerifier
 from .updates import UpdateHandler
@@ -39,7 +39,7 @@
 
 
 class MembershipProtocol:
-    """The entry points of the protocol, and the wiring of its parts."""
+    """The entry points of the protocol, and the wiring of its components."""
 
     def __init__(
         self,
@@ -61,26 +61,26 @@
         self.config = config or ProtocolConfig()
         self.identity = LocalIdentity(member, process_id)
         self.view = MembershipView(member, member_count)
-        self.stats = Stats()
+        self.stats = MembershipStats()
         self.commands = CommandQueue()
         context = ProtocolContext(self.config, self.identity, self.view, random, self.stats, self.commands)
         self._random = random
         self.rate_limiter = SenderRateLimiter(self.stats)
-        parts = create_shared_parts(context, self.rate_limiter)
-        self.suspicions = parts.suspicions
-        self.store = parts.store
-        self.sender = parts.sender
-        self.health = parts.health
-        self.probes = parts.probes
-        self.local = parts.local
-        self.self_monitor = SelfMonitor(context, parts)
-        self.join_prober = JoinProber(context, parts)
-        self.updates = UpdateHandler(context, parts, self.join_prober)
-        verifier = SuspicionVerifier(context, parts)
-        self.suspicion_monitor = SuspicionMonitor(context, parts, self.updates, verifier)
-        self.failure_detector = FailureDetector(context, parts, self.suspicion_monitor)
-        self.heartbeats = HeartbeatDetector(context, parts, self.updates)
-        self.anti_entropy = AntiEntropy(context, parts.sender, self.updates)
+        components = create_shared_components(context, self.rate_limiter)
+        self.suspicions = components.suspicions
+        self.store = components.store
+        self.sender = components.sender
+        self.health = components.health
+        self.probes = components.probes
+        self.local = components.local
+        self.self_monitor = SelfMonitor(context, components)
+        self.join_prober = JoinProber(context, components)
+        self.updates = UpdateHandler(context, components, self.join_prober)
+        verifier = SuspicionVerifier(context, components)
+        self.suspicion_monitor = SuspicionMonitor(context, components, self.updates, verifier)
+        self.failure_detector = FailureDetector(context, components, self.suspicion_monitor)
+        self.heartbeats = HeartbeatDetector(context, components, self.updates)
+        self.anti_entropy = AntiEntropy(context, components.sender, self.updates)
 
     @property
     def status(self) -> LocalStatus:
@@ -127,8 +127,8 @@
     def on_message(self, now: float, sender: int, message: Message) -> list[Command]:
         """Handle a message; one of a stranger, of a flood or after the leave is ignored."""
         self.self_monitor.check_for_pause(now)
-        is_stranger = sender == self.identity.member or not self.view.contains(sender)
-        if is_stranger or self.status is LocalStatus.LEFT:
+        is_unknown_sender = sender == self.identity.member or not self.view.contains(sender)
+        if is_unknown_sender or self.status is LocalStatus.LEFT:
             return self._finish(now)
         if not self.rate_limiter.accept_message(now, sender):
             return self._finish(now)
@@ -138,8 +138,8 @@
         self.health.last_received_at = now
         self._apply_records(now, sender, message)
         self._dispatch(now, sender, message)
-        is_compared = message.kind in (MessageKind.PING, MessageKind.ACK)
-        if is_compared and message.view_digest != self.view.table.digest:
+        is_ping_or_ack = message.kind in (MessageKind.PING, MessageKind.ACK)
+        if is_ping_or_ack and message.view_digest != self.view.table.digest:
             self.anti_entropy.request_sync(now, sender)
         return self._finish(now)
 
@@ -162,7 +162,7 @@
         )
 
     def _start_clocks(self, now: float) -> None:
-        self.health.reset_clocks(now)
+        self.health.reset_times(now)
         self.probes.next_probe_at = now + self._random.random() * self.config.probe_interval
 
     def _apply_records(self, now: float, sender: int, message: Message) -> None:
--- a/applevale/membership/rate_limiter.py
+++ b/applevale/membership/rate_limiter.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from .config import MAX_ANSWERS_PER_SECOND, MAX_MESSAGES_PER_SECOND
-from .stats import Stats
+from .stats import MembershipStats
 
 WINDOW_SECONDS = 1.0
 
@@ -13,7 +13,7 @@
 class SenderRateLimiter:
     """Counts messages by sender, in windows of a second."""
 
-    def __init__(self, stats: Stats):
+    def __init__(self, stats: MembershipStats):
         """Create a limiter that counts what it rejects in `stats`."""
         self._stats = stats
         self._window_start = -inf
--- a/applevale/membership/runner.py
+++ b/applevale/membership/runner.py
@@ -80,7 +80,7 @@
     def _on_datagram(self, sender: int, data: bytes) -> None:
         try:
             message = codec.decode(data)
-        except codec.MessageError as error:
+        except codec.MalformedDatagramError as error:
             self._datagrams.reject(self._datagrams.addresses.each[sender], str(error))
             return
         self._execute(self._protocol.on_message(self.clock(), sender, message))
--- a/applevale/membership/self_monitor.py
+++ b/applevale/membership/self_monitor.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from .commands import LocalStatus
+from .components import SharedComponents
 from .context import ProtocolContext
-from .parts import SharedParts
 
 
 class SelfMonitor:
     """Guards all judgement against a process that stood still."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts):
-        """Create a monitor of these parts."""
+    def __init__(self, context: ProtocolContext, components: SharedComponents):
+        """Create a monitor of these components."""
         self._config = context.config
         self._identity = context.identity
         self._stats = context.stats
-        self._health = parts.health
-        self._probes = parts.probes
-        self._suspicions = parts.suspicions
-        self._local = parts.local
+        self._health = components.health
+        self._probes = components.probes
+        self._suspicions = components.suspicions
+        self._local = components.local
 
     def check_for_pause(self, now: float) -> None:
         """Handle a late event; call it first at each event, whichever it is."""
@@ -38,7 +38,7 @@
         """Start all judgement anew: messages were missed, and others may suspect this member."""
         self._probes.clear()
         self._health.start_quiet_period(now)
-        self._health.reset_contact(now)
+        self._health.reset_contact_times(now)
         self._suspicions.restart_all(now)
         if self._health.status is LocalStatus.ISOLATED:
             self._health.set_status(LocalStatus.HEALTHY)
--- a/applevale/membership/stats.py
+++ b/applevale/membership/stats.py
@@ -6,7 +6,7 @@
 
 
 @dataclass
-class Stats:
+class MembershipStats:
     """Counts since the start. The names of the fields are those of the counters, after `members_`.
 
     Attributes:
--- a/applevale/membership/suspicion.py
+++ b/applevale/membership/suspicion.py
@@ -17,7 +17,7 @@
 from .messages import MAX_OBSERVERS
 
 MAX_REPORTED_AGE_SECONDS = 0.8
-LAPSE_SECONDS = 3.0  # for which a suspicion without a quorum is kept
+MAX_AGE_WITHOUT_QUORUM_SECONDS = 3.0  # for which a suspicion without a quorum is kept
 
 
 @dataclass(frozen=True)
@@ -69,7 +69,7 @@
         quorum_at: When there was a quorum here; infinite without one.
         started_at: When there was a quorum anywhere, as far as that counts; infinite without one.
         observers: The distinct observers, in the order in which they were added.
-        relayed_count: Observers that were relayed to others already.
+        relayed_observer_count: Observers that were relayed to others already.
         next_check_at: When this member pings or probes the suspect again.
         final_check_started: Whether the last check before the death was started.
     """
@@ -79,7 +79,7 @@
     quorum_at: float = inf
     started_at: float = inf
     observers: dict[int, None] = field(default_factory=dict)
-    relayed_count: int = 0
+    relayed_observer_count: int = 0
     next_check_at: float = inf
     final_check_started: bool = False
 
@@ -112,6 +112,6 @@
             self.quorum_at = now
             self.started_at = now
 
-    def has_lapsed(self, now: float) -> bool:
+    def is_stale(self, now: float) -> bool:
         """Return whether there never was a quorum and the last observer is long ago."""
-        return self.quorum_at == inf and now - self.updated_at > LAPSE_SECONDS
+        return self.quorum_at == inf and now - self.updated_at > MAX_AGE_WITHOUT_QUORUM_SECONDS
--- a/applevale/membership/suspicion_monitor.py
+++ b/applevale/membership/suspicion_monitor.py
@@ -4,10 +4,10 @@
 
 from math import inf
 
+from .components import SharedComponents
 from .config import HELP_RESERVE_BYTES
 from .context import ProtocolContext
 from .messages import INCARNATION_LOW_MASK, MemberRecord, MemberState, MemberUpdate, SuspicionUpdate
-from .parts import SharedParts
 from .suspicion import Suspicion
 from .suspicion_verifier import SuspicionVerifier
 from .updates import UpdateHandler
@@ -23,7 +23,7 @@
     def __init__(
         self,
         context: ProtocolContext,
-        parts: SharedParts,
+        components: SharedComponents,
         updates: UpdateHandler,
         verifier: SuspicionVerifier,
     ):
@@ -31,11 +31,11 @@
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
-        self._suspicions = parts.suspicions
-        self._broadcasts = parts.broadcasts
-        self._sender = parts.sender
-        self._health = parts.health
-        self._local = parts.local
+        self._suspicions = components.suspicions
+        self._broadcasts = components.broadcasts
+        self._sender = components.sender
+        self._health = components.health
+        self._local = components.local
         self._updates = updates
         self._verifier = verifier
         self._batch_started_at = inf  # when the first death of the present batch was due
@@ -101,7 +101,7 @@
         if now < suspicions.next_deadline:
             return
         window = self._config.batch_window
-        if not self._health.may_judge(now):
+        if not self._health.may_suspect_others(now):
             suspicions.next_deadline = now + window
             return
         self._verifier.verify_suspects(now)
@@ -116,7 +116,7 @@
             return
         self._batch_started_at = inf
         if expired:
-            self._updates.remove_members(now, tuple(self._death_of(member) for member in expired))
+            self._updates.remove_members(now, tuple(self._death_update(member) for member in expired))
         suspicions.reschedule()
 
     def _on_own_suspicion(self, now: float, update: SuspicionUpdate, has_quorum: bool) -> None:
@@ -129,9 +129,9 @@
         quorum = self._suspicions.quorum(member)
         fast_quorum = self._config.timeouts.fast_quorum(self._view.eligible_observers(member))
         count = len(suspicion.observers)
-        is_decisive = former_count < quorum or suspicion.relayed_count < fast_quorum <= count
+        is_decisive = former_count < quorum or suspicion.relayed_observer_count < fast_quorum <= count
         if is_decisive and count >= min(self._config.min_relayed_observers, quorum):
-            suspicion.relayed_count = count
+            suspicion.relayed_observer_count = count
             self._broadcasts.add_suspicion(member)
 
     def _wait_for_batch(self, now: float, upcoming: list[float]) -> None:
@@ -142,7 +142,7 @@
         else:
             suspicions.next_deadline = min(suspicions.next_deadline, *upcoming)
 
-    def _death_of(self, member: int) -> MemberUpdate:
+    def _death_update(self, member: int) -> MemberUpdate:
         incarnation = self._suspicions.active[member].incarnation
         process_id = self._view.table.records[member].process_id
         return MemberUpdate(member, MemberRecord(MemberState.DEAD, incarnation, process_id))
--- a/applevale/membership/suspicion_table.py
+++ b/applevale/membership/suspicion_table.py
@@ -95,9 +95,9 @@
             suspicion.restart(now)
         self.reschedule()
 
-    def discard_lapsed(self, now: float) -> None:
+    def discard_stale(self, now: float) -> None:
         """Forget suspicions that never had a quorum."""
-        for member in [member for member, suspicion in self.active.items() if suspicion.has_lapsed(now)]:
+        for member in [member for member, suspicion in self.active.items() if suspicion.is_stale(now)]:
             del self.active[member]
 
     def reschedule(self) -> None:
--- a/applevale/membership/suspicion_verifier.py
+++ b/applevale/membership/suspicion_verifier.py
@@ -5,25 +5,25 @@
 from hashlib import blake2b
 from math import inf
 
+from .components import SharedComponents
 from .config import FINAL_CHECK_TRANSMITS, MAX_PIGGYBACK_SUSPICIONS
 from .context import ProtocolContext
-from .parts import SharedParts
 from .suspicion import Suspicion
 
 
 class SuspicionVerifier:
     """Checks suspects that others could not reach, as one of a few members that are drawn to do so."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts):
+    def __init__(self, context: ProtocolContext, components: SharedComponents):
         """Create a verifier of the suspicions in a table."""
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
         self._stats = context.stats
-        self._suspicions = parts.suspicions
-        self._broadcasts = parts.broadcasts
-        self._sender = parts.sender
-        self._probes = parts.probes
+        self._suspicions = components.suspicions
+        self._broadcasts = components.broadcasts
+        self._sender = components.sender
+        self._probes = components.probes
 
     def on_quorum(self, now: float, member: int, suspicion: Suspicion) -> None:
         """Begin to verify a suspicion that has just found enough observers."""
--- a/applevale/membership/updates.py
+++ b/applevale/membership/updates.py
@@ -3,24 +3,24 @@
 from __future__ import annotations
 
 from .commands import MembershipChange
+from .components import SharedComponents
 from .context import ProtocolContext
 from .join_prober import JoinProber
 from .messages import MemberRecord, MemberState, MemberUpdate, Message
-from .parts import SharedParts
 
 
 class UpdateHandler:
     """Decides which records of others are taken into the view."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts, join_prober: JoinProber):
-        """Create a handler that writes to these parts."""
+    def __init__(self, context: ProtocolContext, components: SharedComponents, join_prober: JoinProber):
+        """Create a handler that writes to these components."""
         self._config = context.config
         self._view = context.view
         self._stats = context.stats
-        self._store = parts.store
-        self._suspicions = parts.suspicions
-        self._health = parts.health
-        self._local = parts.local
+        self._store = components.store
+        self._suspicions = components.suspicions
+        self._health = components.health
+        self._local = components.local
         self._join_prober = join_prober
 
     def on_sender_alive(self, now: float, sender: int, message: Message) -> None:
@@ -50,7 +50,7 @@
             self.remove_members(now, (MemberUpdate(member, record),))
         elif record.state in (MemberState.DEAD, MemberState.LEFT):
             is_confirmed = self._suspicions.add_claim(member, record, sender)
-            if is_confirmed and self._health.may_judge(now):
+            if is_confirmed and self._health.may_suspect_others(now):
                 self.remove_members(now, (MemberUpdate(member, record),))
 
     def remove_members(self, now: float, removals: tuple[MemberUpdate, ...]) -> None:
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -124,7 +124,7 @@
     "one_word": {SuspicionMonitor: {"suspect": dead_by_one_observer}},
     "no_look": {
         SelfMonitor: {"check_for_pause": notice_no_pause},
-        LocalHealth: {"may_judge": lambda self, now: True},
+        LocalHealth: {"may_suspect_others": lambda self, now: True},
     },
     "reset": {LocalMember: {"refute": refute_from_the_first, "on_own_record": heed_own_process_only}},
     "no_help": {FailureDetector: {"_ask_helpers": ask_no_one}},
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -109,9 +109,9 @@
 
 
 @given(st.binary(max_size=300))
-def test_invalid_datagrams_raise_message_error_only(data):
+def test_invalid_datagrams_raise_malformed_datagram_error_only(data):
     for one in (data, bytes([codec.MAGIC, 1]) + data, bytes([codec.MAGIC, 7]) + data):
-        with suppress(codec.MessageError):
+        with suppress(codec.MalformedDatagramError):
             codec.decode(one)
 
 
