--- a/applevale/membership/__init__.py
+++ b/applevale/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Group membership among instances: a SWIM protocol with Lifeguard's extensions and several observers.
+"""Group membership among instances: SWIM with Lifeguard's extensions, and a quorum of observers for a death.
 
-`protocol.py` has the entry points. All but `runner.py` work without I/O and clock.
+`protocol.py` has the entry points. Only `runner.py` performs I/O and reads a clock.
 """
--- a/applevale/membership/commands.py
+++ b/applevale/membership/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the membership protocol: what its runner sends and announces."""
+"""Commands that the membership protocol returns, for its runner to carry out."""
 
 from __future__ import annotations
 
@@ -17,12 +17,19 @@
 
 
 class MembershipChange(Enum):
-    """How a member changed; the value stands in events."""
+    """How a member changed. The value appears in logged events.
+
+    Attributes:
+        JOINED: The member is alive and was not before.
+        DIED: The member was declared dead.
+        LEFT: The member left in an orderly way.
+        RESTARTED: A new process of the member appeared before the previous one was declared dead.
+    """
 
     JOINED = "joined"
     DIED = "died"
     LEFT = "left"
-    RESTARTED = "restarted"  # a later process of the same member, without a death in between
+    RESTARTED = "restarted"
 
 
 @dataclass(frozen=True)
@@ -35,26 +42,36 @@
 
 @dataclass(frozen=True)
 class ViewChanged:
-    """Announce changes of the view, all at once."""
+    """Announce the changes of the view since the previous announcement."""
 
     changes: tuple[MemberChanged, ...]
 
 
 class LocalStatus(Enum):
-    """What a member thinks of itself; the value stands in events."""
+    """A member's assessment of its own condition. The value appears in logged events.
+
+    Attributes:
+        JOINING: It asks others for its last incarnation before it takes part.
+        HEALTHY: It exchanges messages with others in time.
+        PAUSED: Its process was suspended or stalled, and now waits out a quiet period.
+        ISOLATED: It receives no messages.
+        UNANSWERED: It receives messages, but no answers to its own.
+        SUPERSEDED: Another process has taken over its member number.
+        LEFT: It left the fleet.
+    """
 
     JOINING = "joining"
     HEALTHY = "well"
-    PAUSED = "paused"  # its process stood still, and has to catch up
-    ISOLATED = "alone"  # it receives nothing
-    UNANSWERED = "unheard"  # it receives messages, but no answers
-    SUPERSEDED = "superseded"  # a later process has its place
+    PAUSED = "paused"
+    ISOLATED = "alone"
+    UNANSWERED = "unheard"
+    SUPERSEDED = "superseded"
     LEFT = "gone"
 
 
 @dataclass(frozen=True)
 class StatusChanged:
-    """Announce what this member thinks of itself."""
+    """Announce a new status of this member."""
 
     status: LocalStatus
 
@@ -63,7 +80,7 @@
 
 
 class CommandQueue:
-    """The commands of one event, in the order in which they were given."""
+    """Collects the commands that result from one event, in order."""
 
     def __init__(self) -> None:
         """Create an empty queue."""
@@ -74,7 +91,7 @@
         self._commands.append(command)
 
     def drain(self) -> list[Command]:
-        """Return all commands and forget them."""
+        """Return all commands and empty the queue."""
         commands = self._commands
         self._commands = []
         return commands
--- a/applevale/membership/components.py
+++ b/applevale/membership/components.py
@@ -1,4 +1,4 @@
-"""The parts of the membership protocol that its detectors share, and their construction."""
+"""The components that the detectors of the membership protocol share, and their construction."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class SharedComponents:
-    """The state and the sender of one protocol instance.
+    """The shared state and the message sender of one protocol instance.
 
     Attributes:
-        suspicions: Suspicions and claims of all members.
-        broadcasts: Updates that are still to be transmitted.
+        suspicions: Suspicions against members, and claims that members died or left.
+        broadcasts: Updates that are still to be disseminated.
         store: Applies records to the view, the suspicions and the broadcasts.
-        sender: Sends messages within the bounds on bytes.
-        health: Whether this member may judge others.
+        sender: Sends messages within the limit on bytes.
+        health: The status of this member, which decides whether it may suspect others.
         probes: Probes that wait for an answer.
-        local: The own record.
+        local: The record of this member.
     """
 
     suspicions: SuspicionTable
@@ -38,7 +38,7 @@
 
 
 def create_shared_components(context: ProtocolContext, rate_limiter: SenderRateLimiter) -> SharedComponents:
-    """Return the parts of a joining member that knows nobody."""
+    """Create the components of a joining member that knows no other member yet."""
     suspicions = SuspicionTable(context.config, context.view)
     broadcasts = BroadcastQueue(context.config, context.view, suspicions)
     store = MemberStore(context.view, suspicions, broadcasts)
--- a/applevale/membership/config.py
+++ b/applevale/membership/config.py
@@ -6,67 +6,70 @@
 
 from .suspicion import SuspicionTimeouts
 
-MAX_LOCAL_HEALTH_SCORE = 3.0  # timeouts grow by this factor plus one at most
-MAX_ANSWERS_PER_SECOND = 30  # to one sender
-MAX_MESSAGES_PER_SECOND = 4 * MAX_ANSWERS_PER_SECOND  # from one sender
-REFUTATION_FANOUT = 32  # members that are informed of a raised incarnation at once
-LEAVE_FANOUT = 12  # members that are informed of a leave at once
-JOIN_FANOUT = 4  # members that a joining member pings at once
-MIN_JOIN_ANSWERS = 3  # after which a joining member waits no longer
+MAX_LOCAL_HEALTH_SCORE = 3.0  # The timeouts of probes are multiplied by 1 + score.
+MAX_ANSWERS_PER_SECOND = 30  # Limit for each sender of pings.
+MAX_MESSAGES_PER_SECOND = 4 * MAX_ANSWERS_PER_SECOND  # Limit for each sender; messages beyond it are ignored.
+REFUTATION_FANOUT = 32  # Members that are sent a raised incarnation at once.
+LEAVE_FANOUT = 12  # Members that are sent a leave at once.
+JOIN_FANOUT = 4  # Members that a joining member pings at once.
+MIN_JOIN_ANSWERS = 3  # Answers with which a joining member ends its wait for more.
 
-# Bytes that a message of each kind leaves in the token bucket for those of higher priority: answers first,
-# then probes, gossip, and help for others.
+# Bytes that a message must leave in the token bucket for messages of higher priority. The priorities, from
+# the highest: answers, probes, gossip, and messages that help other members.
 PROBE_RESERVE_BYTES = 30.0
 GOSSIP_RESERVE_BYTES = 80.0
 HELP_RESERVE_BYTES = 100.0
 
-FINAL_CHECK_TRANSMITS = 2  # of a suspicion, when its final check starts
-RECORD_TRANSMIT_FACTOR = 1.2  # transmits of a record, over the logarithm of the fleet size
-SUSPICION_TRANSMIT_FACTOR = 0.9  # transmits of a suspicion, each time it has enough new observers
-# With more suspicions pings carry no gossip: many go to dead members, and bytes are scarce.
+FINAL_CHECK_TRANSMITS = 2  # Minimum of further transmits of a suspicion when its final check starts.
+# Transmits of an update, as multiples of the binary logarithm of the fleet size.
+RECORD_TRANSMIT_FACTOR = 1.2
+SUSPICION_TRANSMIT_FACTOR = 0.9  # Applies anew each time a suspicion gains decisive observers.
+# With more active suspicions pings carry no gossip: many of them go to dead members, and bytes are scarce.
 MAX_PIGGYBACK_SUSPICIONS = 3
 
-MAX_RELAYS = 1024  # members for which the helper that reached them is remembered
-FALSE_SUSPICION_WINDOW_SECONDS = 5.0  # for which members that could not be reached are remembered
-MAX_SYNC_DELAY_SECONDS = 3.0  # for which records are not compared because the view keeps changing
-ALONE_PROBE_INTERVAL_SECONDS = 0.4  # of a member that knows no other one
+MAX_RELAYS = 1024  # Members for which the helper that last reached them is remembered.
+FALSE_SUSPICION_WINDOW_SECONDS = 5.0  # Period in which unreachable members and false suspicions are counted.
+MAX_SYNC_DELAY_SECONDS = 3.0  # Longest time without a sync while the view keeps changing.
+ALONE_PROBE_INTERVAL_SECONDS = 0.4  # Probe interval of a member that knows no other one that is alive.
 MAX_SEGMENTS_PER_SYNC = 3
 
 
 @dataclass(frozen=True)
 class ProtocolConfig:
-    """Parameters of the protocol; durations in seconds.
+    """Parameters of the protocol. All durations are in seconds.
 
     Attributes:
-        probe_interval: Between two probes.
-        retry_after: Without an answer, until the second ping of a probe.
-        indirect_probe_after: Without an answer, until helpers are asked.
-        probe_timeout: Until a probe has failed.
-        helper_probe_timeout: Until a helper's probe, or a verification, has failed.
-        helper_count: Helpers of an indirect probe.
-        min_relayed_observers: Observers from which on a suspicion is relayed, so that a single false observer
-            is relayed by nobody.
-        verifier_count: Members that verify a suspicion by probes of their own, on average.
-        verification_interval: Between two such probes.
-        final_check_lead: Before a death, when all members probe the suspect once more.
-        max_final_check_fleet: The largest fleet in which all of them do.
-        join_wait: After the first answer, for which a joining member waits for others.
-        join_timeout: Without an answer, until a joining member takes itself for the first one.
+        probe_interval: Time between two probes.
+        retry_after: Time from the first ping of a probe to the second if no answer arrives.
+        indirect_probe_after: Time from the first ping of a probe until helpers are asked.
+        probe_timeout: Time from the first ping of a probe until the probe has failed.
+        helper_probe_timeout: The same for the probe of a helper and for a verification.
+        helper_count: Number of helpers of an indirect probe.
+        min_relayed_observers: Number of observers from which on a suspicion is relayed to others. With two or
+            more, a single false observer is not relayed.
+        verifier_count: Average number of members that verify a suspicion by probes of their own.
+        verification_interval: Time between two probes of a verifier.
+        final_check_lead: Time before a death at which members probe the suspect once more.
+        max_final_check_fleet: Size of the largest fleet in which all members take part in the final check.
+        join_wait: Time that a joining member waits for further answers after the first one.
+        join_timeout: Time after which a joining member without any answer assumes that it is the first.
         pause_threshold: Delay of an event from which on this process counts as paused.
-        delay_threshold: Delay of an event from which on answers may lie unread in the socket.
-        quiet_period: After a pause or isolation, without judgement of others.
-        isolation_timeout: Without any message.
-        unanswered_timeout: Without any answer.
-        batch_window: For which a death waits for others that are due, and a join for others.
-        join_rate: Probes per second that each dead member gets, from all members together.
-        max_join_rate: Probes per second to dead members that one member sends.
-        sync_interval: Between two comparisons of records.
-        refutation_interval: Between two rises of the own incarnation.
-        heartbeat_interval: Between heartbeats to all, in place of probes (a baseline); 0: probes.
-        min_false_suspicions: Unreachable members that turned out alive, from which on this
-            member doubts itself.
-        monitors_itself: Whether pauses, isolation and doubt suspend judgement of others.
-        timeouts: Of suspicions.
+        delay_threshold: Delay of an event from which on answers may still be unread in the socket.
+        quiet_period: Time after a pause, a loss of contact or a join in which this member suspects nobody.
+        isolation_timeout: Time without any message after which this member is isolated.
+        unanswered_timeout: Time without any answer after which this member is unanswered.
+        batch_window: Time that an announcement of deaths or joins waits for further ones.
+        join_rate: Pings per second that each dead member receives from all members together.
+        max_join_rate: Pings per second to dead members that one member sends at most.
+        sync_interval: Minimum time between two syncs of records.
+        refutation_interval: Minimum time between two refutations, unless others report a higher incarnation.
+        heartbeat_interval: Time between heartbeats to all members, which replace probes (a baseline for
+            comparison); 0 for probes.
+        min_false_suspicions: Number of unreachable members that turned out to be alive from which on this
+            member may stop suspecting others.
+        monitors_itself: Whether this member suspects nobody after a pause, a loss of contact or too many false
+            suspicions of its own.
+        timeouts: Timeouts and quorum of suspicions.
     """
 
     probe_interval: float = 0.1
--- a/applevale/membership/context.py
+++ b/applevale/membership/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the membership protocol share."""
+"""Configuration, state and outputs that all components of the membership protocol share."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     Attributes:
         member: Its number among the configured members.
         process_id: A random number of 16 bits drawn at each start of the process.
-        incarnation: SWIM's incarnation number; 0 while the member joins. `LocalMember` alone changes it.
+        incarnation: SWIM's incarnation number; 0 while the member joins. Only `LocalMember` changes it.
     """
 
     member: int
@@ -27,13 +27,22 @@
     incarnation: int = 0
 
     def record(self, state: MemberState) -> MemberRecord:
-        """Return the own record in a state."""
+        """Return the record of this member with the given state."""
         return MemberRecord(state, self.incarnation, self.process_id)
 
 
 @dataclass(frozen=True)
 class ProtocolContext:
-    """The parameters, identity, view, random numbers, counts and commands of one protocol instance."""
+    """What the components of one protocol instance share.
+
+    Attributes:
+        config: Parameters of the protocol.
+        identity: Number, process and incarnation of this member.
+        view: What this member knows of all members.
+        random: The source of all random draws.
+        stats: Counts of what the protocol did.
+        commands: Commands that result from the current event.
+    """
 
     config: ProtocolConfig
     identity: LocalIdentity
--- a/applevale/membership/messages.py
+++ b/applevale/membership/messages.py
@@ -1,7 +1,7 @@
-"""Messages between members, and the records they carry.
+"""Messages between members, and the records that they carry.
 
-Members are identified by number: their index in the configured list of peers. The sender of a message is
-known from the address it came from, never from its content. `codec.py` has the encoding.
+A member is identified by its number, the index in the configured list of peers. The sender of a message is
+identified by its address, never by the content. `codec.py` has the encoding.
 """
 
 from __future__ import annotations
@@ -10,28 +10,45 @@
 from enum import IntEnum
 
 MAX_INCARNATION = (1 << 30) - 1
-INCARNATION_LOW_MASK = 255  # the bits of an incarnation by which a suspicion update is matched to it
-MAX_OBSERVERS = 5  # in one suspicion update
-MAX_SEGMENTS = 48  # into which the records are divided for comparison
+INCARNATION_LOW_MASK = 255  # The bits of an incarnation that a suspicion update carries.
+MAX_OBSERVERS = 5  # Limit for one suspicion.
+MAX_SEGMENTS = 48  # Segments into which the records of all members are divided for comparison.
 
 
 class MessageKind(IntEnum):
-    """The kind of a message; the value is its byte in a datagram."""
+    """The kind of a message. The value is its byte in a datagram.
+
+    Attributes:
+        PING: Asks for an ack.
+        ACK: Answers a ping.
+        PING_REQUEST: Asks the receiver to probe `subject`.
+        PING_RESULT: Answers a ping request: whether `subject` was reached.
+        GOSSIP: Carries updates only.
+        SEGMENT_DIGESTS: Starts a sync of records.
+        SEGMENT: Answers segment digests with the records of a segment that differs.
+    """
 
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # asks the receiver to probe `subject`
-    PING_RESULT = 4  # answers a ping request: whether `subject` was reached
+    PING_REQUEST = 3
+    PING_RESULT = 4
     GOSSIP = 5
     SEGMENT_DIGESTS = 6
     SEGMENT = 7
 
 
 class MemberState(IntEnum):
-    """The state of a member, in the order in which one overrides another at the same incarnation."""
+    """The state of a member. At the same incarnation LEFT overrides DEAD, and DEAD the other two.
+
+    Attributes:
+        ALIVE: The member takes part; with incarnation 0: nothing is known of it.
+        SUSPECT: The member is alive but suspected by a quorum. Only the suspect itself is sent this state.
+        DEAD: The member was declared dead.
+        LEFT: The member left in an orderly way.
+    """
 
-    ALIVE = 0  # with incarnation 0: nothing is known
-    SUSPECT = 1  # sent to the suspect itself only
+    ALIVE = 0
+    SUSPECT = 1
     DEAD = 2
     LEFT = 3
 
@@ -41,8 +58,8 @@
     """What is known of a member.
 
     Attributes:
-        state: Its state at this incarnation.
-        incarnation: SWIM's incarnation number, raised by the member itself; 0: the member is unknown.
+        state: The state of the member at this incarnation.
+        incarnation: SWIM's incarnation number, which only the member itself raises; 0 if it is unknown.
         process_id: A random number of 16 bits drawn at each start of the process.
     """
 
@@ -62,11 +79,11 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """The sort key by which the greater of two records overrides the other."""
+        """The sort key of records of one member: the greater of two records overrides the other."""
         return self.incarnation, max(self.state, MemberState.SUSPECT)
 
     def with_state(self, state: MemberState) -> MemberRecord:
-        """Return the record of the same process and incarnation in another state."""
+        """Return a copy of the record with another state."""
         return MemberRecord(state, self.incarnation, self.process_id)
 
 
@@ -75,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """A record of one member."""
+    """A disseminated record of one member."""
 
     member: int
     record: MemberRecord
@@ -83,13 +100,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspicionUpdate:
-    """Observers that could not reach a member.
+    """A disseminated suspicion: the observers that could not reach a member.
 
     Attributes:
         member: The suspected member.
-        incarnation: The incarnation it is suspected at; a datagram carries its lowest 8 bits.
-        age: Seconds since there were enough observers.
-        observers: Distinct members that could not reach it.
+        incarnation: The incarnation at which it is suspected. A datagram carries its lowest 8 bits.
+        age: Seconds since there was a quorum of observers.
+        observers: Distinct members that could not reach the suspect.
     """
 
     member: int
@@ -106,18 +123,18 @@
     """A message from one member to another.
 
     Attributes:
-        kind: Kind of the request or response.
-        sequence_number: Matches an answer to its request.
-        incarnation: The sender's incarnation; 0 while it joins.
-        process_id: The sender's process.
-        receiver_record: What the sender knows of the receiver.
+        kind: The kind of the message.
+        sequence_number: Number that matches an answer to its request.
+        incarnation: Incarnation of the sender; 0 while it joins.
+        process_id: Process id of the sender.
+        receiver_record: The sender's record of the receiver.
         view_digest: Digest of all records of the sender.
-        subject: The member to probe, in ping requests and their results.
-        is_reachable: Whether `subject` answered, in ping results.
-        updates: Records and suspicions that are disseminated.
-        segment_digests: Digests of all segments of the sender's records.
-        first_member: The member of the first of `segment_records`.
-        segment_records: Records of consecutive members.
+        subject: In ping requests and ping results: the member to probe.
+        is_reachable: In ping results: whether `subject` answered.
+        updates: Piggybacked records and suspicions.
+        segment_digests: In segment digests: one digest for each segment of the sender's records.
+        first_member: In segments: the number of the member with the first of `segment_records`.
+        segment_records: In segments: the records of consecutive members.
     """
 
     kind: MessageKind
--- a/applevale/membership/records.py
+++ b/applevale/membership/records.py
@@ -1,10 +1,11 @@
-"""The records of all members, with digests by which two members compare them. No I/O, no clock.
+"""The records of all members, with digests that two members compare. No I/O, no clock.
 
 Invariants:
 
-- `put` is the only way in; the caller has decided by `MemberRecord.precedence` that the record is the later.
-- `digest` and `segment_digests` cover the known records by member, incarnation and whether it is alive: equal
-  digests mean equal views. A suspicion is no part of them: it passes by itself.
+- Records change only through `put`. Its caller has checked by `MemberRecord.precedence` that the new record
+  overrides the known one.
+- `digest` and `segment_digests` cover the member, incarnation and state of all known records: equal digests
+  mean equal views. They treat suspect members as alive, since a suspicion is temporary.
 """
 
 from __future__ import annotations
@@ -23,10 +24,17 @@
 
 
 class RecordTable:
-    """The records of all members, divided into segments of equal width."""
+    """The records of all members, divided into segments of equal width.
+
+    Attributes:
+        records: The record of each member, by its number.
+        segment_width: Members in a segment; the last segment may have fewer.
+        segment_digests: One digest for each segment.
+        digest: Digest of all records.
+    """
 
     def __init__(self, member_count: int):
-        """Create a table of `member_count` unknown members."""
+        """Create a table of `member_count` members of which nothing is known."""
         self.records: list[MemberRecord] = [UNKNOWN_RECORD] * member_count
         self.segment_width = max(MAX_SEGMENT_RECORDS, -(-member_count // MAX_SEGMENTS))
         self.segment_digests = [0] * (-(-member_count // self.segment_width))
@@ -43,12 +51,12 @@
         self.records[member] = record
 
     def segment(self, index: int) -> range:
-        """Return the members of a segment."""
+        """Return the numbers of the members of a segment."""
         first = index * self.segment_width
         return range(first, min(len(self.records), first + self.segment_width))
 
     def differing_segments(self, digests: tuple[int, ...]) -> list[int]:
-        """Return the indexes of the segments whose digests differ; none if their number differs."""
+        """Return the indexes of the segments whose digests differ; none if the number of segments differs."""
         if len(digests) != len(self.segment_digests):
             return []
         pairs = zip(self.segment_digests, digests)
--- a/applevale/membership/stats.py
+++ b/applevale/membership/stats.py
@@ -1,4 +1,4 @@
-"""Counts of what the membership protocol did."""
+"""Statistics of the membership protocol."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclass
 class MembershipStats:
-    """Counts since the start. The names of the fields are those of the counters, after `members_`.
+    """Counts since the start. Each field is published as the counter `members_NAME`.
 
     Attributes:
         sent: Messages sent.
         sent_bytes: Bytes sent.
-        heard: Messages received.
-        held_back: Messages that the token bucket kept back.
+        heard: Messages received and accepted.
+        held_back: Messages dropped because of the token bucket.
         probes: Probes started.
         failed: Probes that failed.
-        suspected: Suspicions that had a quorum.
-        raised: Rises of the own incarnation.
+        suspected: Suspicions that reached a quorum.
+        raised: Refutations, each of which raises this member's incarnation.
         died: Members declared dead.
         paused: Pauses of this process.
-        repairs: Comparisons of records.
-        floods: Messages beyond what one sender is answered.
+        repairs: Syncs of records that this member requested.
+        floods: Messages ignored and pings not answered because one sender exceeded its limits.
     """
 
     sent: int = 0
