--- a/applevale/membership/codec.py
+++ b/applevale/membership/codec.py
@@ -1,15 +1,15 @@
-"""The encoding of messages in datagrams of at most 256 bytes, big-endian.
+"""Encoding of membership messages as big-endian datagrams of at most 256 bytes.
 
-Layout, with the bytes of each field:
+Layout, with the size of each field in bytes:
 
     header      = magic:1 kind:1 sequence number:2 incarnation:4 process id:2 receiver's record:4
                   receiver's process id:2 view digest:4
-    subject     = member:2 reachable:1, after the header of ping requests and results
-    record      = the state in the two highest bits, the incarnation in the others
+    subject     = member:2 reachable:1; follows the header of ping requests and ping results
+    record      = state in the two highest bits, incarnation in the other 30 bits
     update      = 255:1 member:2 record:4 process id:2
     suspicion   = count:1 member:2 low bits of the incarnation:1 age:1 observers:2*count
-    digests     = 4 bytes for each segment
-    segment     = first member:2 count:1, then for each member record:4 process id:2
+    digests     = digest:4 for each segment
+    segment     = first member:2 count:1, then record:4 process id:2 for each member
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
     Update,
 )
 
-MAGIC = 0xA7  # first byte of these datagrams; other users of the socket have another one
+MAGIC = 0xA7  # Distinguishes membership datagrams from others on the same socket by their first byte.
 MAX_DATAGRAM_BYTES = 256
-AGE_UNIT_SECONDS = 1 / 16  # ages are rounded down, and at most 255 units
+AGE_UNIT_SECONDS = 1 / 16
 MAX_AGE_UNITS = 255
 
 HEADER = struct.Struct(">BBHIHIHI")
@@ -50,18 +50,18 @@
 
 
 class MalformedDatagramError(ValueError):
-    """A datagram that is no valid message."""
+    """A datagram cannot be decoded as a membership message."""
 
 
 def encoded_update_size(update: Update) -> int:
-    """Return the bytes of an update in a datagram."""
+    """Return the number of bytes that an update takes in a datagram."""
     if isinstance(update, MemberUpdate):
         return MEMBER_UPDATE.size
     return SUSPICION_UPDATE.size + OBSERVER_BYTES * len(update.observers)
 
 
 def encoded_size(message: Message) -> int:
-    """Return the bytes of a message's datagram."""
+    """Return the number of bytes of a message's datagram."""
     body = sum(map(encoded_update_size, message.updates))
     if message.kind is MessageKind.SEGMENT_DIGESTS:
         body = DIGEST_BYTES * len(message.segment_digests)
@@ -73,7 +73,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the datagram of a message."""
+    """Encode a message as a datagram."""
     receiver_record = message.receiver_record
     data = bytearray(
         HEADER.pack(
@@ -101,10 +101,10 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message of a datagram.
+    """Decode a datagram.
 
     Raises:
-        MalformedDatagramError: The bytes are no valid message. Nothing else is raised, whatever the bytes.
+        MalformedDatagramError: The bytes are not a valid message. No other exception is raised on any input.
     """
     try:
         return _decode(data)
@@ -124,21 +124,21 @@
     if isinstance(update, MemberUpdate):
         record = update.record
         return MEMBER_UPDATE.pack(_MEMBER_UPDATE_TAG, update.member, _pack_record(record), record.process_id)
-    age = min(MAX_AGE_UNITS, int(update.age / AGE_UNIT_SECONDS))
-    head = SUSPICION_UPDATE.pack(
-        len(update.observers), update.member, update.incarnation & INCARNATION_LOW_MASK, age
+    age_units = min(MAX_AGE_UNITS, int(update.age / AGE_UNIT_SECONDS))
+    header = SUSPICION_UPDATE.pack(
+        len(update.observers), update.member, update.incarnation & INCARNATION_LOW_MASK, age_units
     )
-    return head + struct.pack(f">{len(update.observers)}H", *update.observers)
+    return header + struct.pack(f">{len(update.observers)}H", *update.observers)
 
 
 def _decode(data: bytes) -> Message:
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise MalformedDatagramError("too long")
+        raise MalformedDatagramError(f"longer than {MAX_DATAGRAM_BYTES} bytes")
     (magic, kind, sequence_number, incarnation, process_id, packed_receiver, receiver_process_id, digest) = (
         HEADER.unpack_from(data)
     )
     if magic != MAGIC or incarnation > MAX_INCARNATION:
-        raise MalformedDatagramError("no header")
+        raise MalformedDatagramError(f"invalid header: magic byte {magic:#04x}, incarnation {incarnation}")
     kind = MessageKind(kind)
     return Message(
         kind,
@@ -152,7 +152,7 @@
 
 
 def _decode_body(kind: MessageKind, body: bytes) -> dict[str, Any]:
-    """Return the fields of a message that its kind determines, by the names in `Message`."""
+    """Decode the fields that depend on the kind of the message, keyed by their names in `Message`."""
     if kind is MessageKind.SEGMENT_DIGESTS:
         return {"segment_digests": struct.unpack(f">{len(body) // DIGEST_BYTES}I", body)}
     if kind is MessageKind.SEGMENT:
@@ -166,10 +166,10 @@
 
 
 def _decode_segment(body: bytes) -> tuple[int, tuple[MemberRecord, ...]]:
-    """Return the first member and the records."""
+    """Return the number of the first member, and the records of it and the members that follow."""
     first_member, count = SEGMENT_HEADER.unpack_from(body)
     if len(body) != SEGMENT_HEADER.size + count * SEGMENT_RECORD.size:
-        raise MalformedDatagramError("a segment of another length")
+        raise MalformedDatagramError(f"the length does not match a segment of {count} records")
     entries = SEGMENT_RECORD.iter_unpack(body[SEGMENT_HEADER.size :])
     return first_member, tuple(_unpack_record(packed, process_id) for packed, process_id in entries)
 
@@ -183,11 +183,11 @@
             offset += MEMBER_UPDATE.size
             updates.append(MemberUpdate(member, _unpack_record(packed, process_id)))
         else:
-            count, member, incarnation, age = SUSPICION_UPDATE.unpack_from(body, offset)
+            count, member, incarnation, age_units = SUSPICION_UPDATE.unpack_from(body, offset)
             offset += SUSPICION_UPDATE.size
             if count > MAX_OBSERVERS:
-                raise MalformedDatagramError("an update of an unknown kind")
+                raise MalformedDatagramError(f"a suspicion has {count} observers, more than {MAX_OBSERVERS}")
             observers = struct.unpack_from(f">{count}H", body, offset)
             offset += OBSERVER_BYTES * count
-            updates.append(SuspicionUpdate(member, incarnation, age * AGE_UNIT_SECONDS, observers))
+            updates.append(SuspicionUpdate(member, incarnation, age_units * AGE_UNIT_SECONDS, observers))
     return tuple(updates)
