--- a/applevale/membership/failure_detector.py
+++ b/applevale/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: probes of members in random order, directly and by helpers (SWIM)."""
+"""SWIM's failure detector: probes members in random order, directly and then through helpers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class FailureDetector:
-    """Probes one member after the other and reports those that do not answer."""
+    """Probes one member after the other, and reports those that do not answer to the suspicion monitor."""
 
     def __init__(self, context: ProtocolContext, components: SharedComponents, monitor: SuspicionMonitor):
-        """Create a detector whose first round has yet to be drawn."""
+        """Create a detector that has not started its first round."""
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
@@ -35,8 +35,8 @@
         self._probes = components.probes
         self._local = components.local
         self._monitor = monitor
-        self._probe_round: list[int] = []  # members that this round has yet to probe
-        self._relays: dict[int, int] = {}  # member -> the helper that reached it last
+        self._probe_round: list[int] = []  # Members still to be probed in this round, in reverse order.
+        self._relays: dict[int, int] = {}  # The helper that last reached a member, by member.
 
     def probe_next(self, now: float) -> None:
         """Probe the next member of the round."""
@@ -52,7 +52,7 @@
             self._suspicions.discard_stale(now)
 
     def advance_probes(self, now: float) -> None:
-        """Retry probes, ask helpers and give up, as each probe is due."""
+        """Advance each probe that is due: ping again, ask helpers, or let the probe fail."""
         for sequence_number, probe in self._probes.snapshot():
             if now >= probe.expires_at:
                 del self._probes.pending[sequence_number]
@@ -66,7 +66,10 @@
                 self._sender.send_ping(now, probe.subject, sequence_number)
 
     def on_ping_request(self, now: float, requester: int, message: Message) -> None:
-        """Probe a member for another one, whose request shows that it has no answer."""
+        """Probe a member on behalf of another one.
+
+        The request also counts as an observation: the requester could not reach the member itself.
+        """
         subject = message.subject
         if not self._view.contains(subject) or subject == self._identity.member:
             return
@@ -78,7 +81,8 @@
             return
         self._monitor.suspect(now, subject, self._view.table.records[subject].incarnation, (requester,))
         suspicion = self._suspicions.active.get(subject)
-        if suspicion is not None and self._identity.member in suspicion.observers:  # it failed already
+        if suspicion is not None and self._identity.member in suspicion.observers:
+            # This member has already failed to reach the subject.
             self._sender.send_ping_result(now, requester, message.sequence_number, subject, False)
         else:
             self._probes.start_for_requester(now, subject, requester, message.sequence_number)
@@ -101,7 +105,7 @@
             self._sender.send_ping_result(now, probe.requester, probe.request_sequence_number, sender, True)
 
     def on_ping_result(self, now: float, helper: int, message: Message) -> None:
-        """Handle a helper's answer."""
+        """Handle the result of a helper's probe."""
         probe = self._probes.pending.get(message.sequence_number)
         if probe is None or probe.requester is not None or probe.subject != message.subject:
             return
@@ -115,34 +119,39 @@
             probe.failed_helpers.append(helper)
 
     def _ping_unknown_members(self, now: float) -> None:
-        """Ping configured members of which none is known to be alive."""
+        """Ping random configured members, while this member joins or knows no other one that is alive."""
         others = self._view.other_members()
         for target in self._random.sample(others, min(JOIN_FANOUT, len(others))):
             self._sender.send_ping(now, target, self._probes.next_sequence_number())
-        if self._health.status is not LocalStatus.JOINING:  # members that start announce themselves
+        if self._health.status is not LocalStatus.JOINING:
+            # Less often than a joining member: members that start announce themselves.
             self._probes.next_probe_at = now + ALONE_PROBE_INTERVAL_SECONDS
 
     def _next_subject(self) -> int:
-        """Return the next member to probe, in rounds of random order."""
+        """Return the next member to probe. Each round visits the members in a new random order."""
         while True:
             if not self._probe_round:
                 self._probe_round = list(self._view.alive)
                 self._random.shuffle(self._probe_round)
             member = self._probe_round.pop()
             suspicion = self._suspicions.active.get(member)
-            is_observed = suspicion is not None and self._identity.member in suspicion.observers
-            if member in self._view.alive and not (is_observed and self._probe_round):
+            is_already_observer = suspicion is not None and self._identity.member in suspicion.observers
+            if member in self._view.alive and not (is_already_observer and self._probe_round):
                 return member
 
     def _ask_helpers(self, now: float, sequence_number: int, probe: Probe) -> None:
-        """Ask the helper that reached the subject before, and random others; fewer if some failed already."""
+        """Ask helpers to probe the subject: the one that last reached it, and random others.
+
+        No more random helpers are asked than a suspicion still needs observers for its quorum.
+        """
         relay = self._relays.get(probe.subject)
         suspicion = self._suspicions.active.get(probe.subject)
-        wanted = 1 if relay is not None else self._config.helper_count
+        random_helper_count = 1 if relay is not None else self._config.helper_count
         if suspicion is not None:
             observer_count = len({*suspicion.observers, self._identity.member})
-            wanted = min(wanted, self._suspicions.quorum(probe.subject) - observer_count)
-        if not self._config.helper_count or (wanted <= 0 and relay is None):
+            missing_count = self._suspicions.quorum(probe.subject) - observer_count
+            random_helper_count = min(random_helper_count, missing_count)
+        if not self._config.helper_count or (random_helper_count <= 0 and relay is None):
             return
         candidates = [
             member
@@ -150,7 +159,7 @@
             if member not in (probe.subject, relay) and member not in self._suspicions.active
         ]
         helpers = [relay] if relay in self._view.alive else []
-        helpers += self._random.sample(candidates, min(max(0, wanted), len(candidates)))
+        helpers += self._random.sample(candidates, min(max(0, random_helper_count), len(candidates)))
         for helper in helpers:
             if self._sender.send_ping_request(now, helper, sequence_number, probe.subject):
                 probe.helper_count += 1
@@ -166,7 +175,7 @@
                 self._monitor.suspect(now, probe.subject, probe.incarnation, (local_member,))
             return
         if not probe.is_verification and probe.helper_count and not probe.failed_helpers:
-            self._health.worsen()  # helpers did not answer either
+            self._health.worsen()  # No helper replied: the fault may be on this side.
         if self._health.may_suspect_others(now):
             self._health.record_unreachable(now, probe.subject)
             observers = (local_member, *probe.failed_helpers)
--- a/applevale/membership/heartbeat.py
+++ b/applevale/membership/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats from all to all: a failure detector to compare the probes with."""
+"""All-to-all heartbeats: a simpler failure detector, as a baseline for comparison with probes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HeartbeatDetector:
-    """Sends heartbeats to all members, and declares dead those whose heartbeats are missing."""
+    """Sends heartbeats to all members, and declares members dead whose heartbeats stop."""
 
     def __init__(self, context: ProtocolContext, components: SharedComponents, updates: UpdateHandler):
         """Create a detector that has received no heartbeat."""
@@ -24,11 +24,11 @@
         self._last_heartbeat_at: dict[int, float] = {}
 
     def record_heartbeat(self, now: float, sender: int) -> None:
-        """Record that a message of a member has arrived."""
+        """Record that a message from a member arrived, which counts as its heartbeat."""
         self._last_heartbeat_at[sender] = now
 
     def send_heartbeats(self, now: float) -> None:
-        """Send a heartbeat to all members, and declare the silent ones dead."""
+        """Send a heartbeat to all members, and declare those dead that were silent beyond the timeout."""
         interval = self._config.heartbeat_interval
         self._probes.next_probe_at = max(self._probes.next_probe_at + interval, now + interval / 2)
         if self._health.status is LocalStatus.JOINING:
--- a/applevale/membership/join_prober.py
+++ b/applevale/membership/join_prober.py
@@ -1,4 +1,4 @@
-"""Probes of members that are dead or unknown, so that groups that were cut apart join again."""
+"""Pings to members that are dead or unknown, so that the sides of a network partition rejoin after it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class JoinProber:
-    """Pings one member that is not alive at a time.
+    """Pings members that are not alive, one at a time.
 
     Attributes:
         next_join_at: When the next ping is due, in seconds; infinite while all members are alive.
     """
 
     def __init__(self, context: ProtocolContext, components: SharedComponents):
-        """Create a prober that waits to be scheduled."""
+        """Create a prober that is not scheduled yet."""
         self._config = context.config
         self._view = context.view
         self._random = context.random
@@ -27,12 +27,12 @@
         self.next_join_at = inf
 
     def schedule(self, now: float) -> None:
-        """Start to ping members that are not alive, unless that is under way."""
+        """Schedule the first ping, unless one is scheduled already."""
         if self.next_join_at == inf:
             self.next_join_at = now + self._interval()
 
     def send_join(self, now: float) -> None:
-        """Ping one member that is not alive: it may be."""
+        """Ping a random member that is not alive in this view, in case it is reachable again."""
         candidates = [member for member in self._view.other_members() if member not in self._view.alive]
         if not candidates:
             self.next_join_at = inf
@@ -42,7 +42,7 @@
         self._sender.send_ping(now, target, self._probes.next_sequence_number())
 
     def _interval(self) -> float:
-        """Return the seconds until the next ping, such that all members together keep to the rate."""
+        """Return a random number of seconds until the next ping; all members together ping at `join_rate`."""
         alive_count = len(self._view.alive)
         dead_count = self._view.member_count - 1 - alive_count
         rate = min(self._config.max_join_rate, self._config.join_rate * dead_count / (1 + alive_count))
--- a/applevale/membership/local_health.py
+++ b/applevale/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Local health: whether this member exchanges messages with others, and may judge them (Lifeguard)."""
+"""Lifeguard's local health: whether this member is in contact with others, and may suspect them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class LocalHealth:
-    """The status of this member, and the evidence for it.
+    """The status of this member, and the evidence for it. All times are in seconds.
 
     Attributes:
-        status: What this member thinks of itself.
-        score: 0 is healthy; timeouts of own probes grow with it.
-        last_event_at: When the last event came, in seconds.
-        expected_at: When the next one was due at the latest.
-        quiet_until: Until when this member does not judge others.
-        last_received_at: When any message came last.
-        last_answered_at: When any answer came last.
+        status: This member's assessment of itself.
+        score: Lifeguard's health score: 0 is healthy, and the timeouts of this member's probes grow with it.
+        last_event_at: When the last event was handled.
+        expected_at: When the next event was due at the latest.
+        quiet_until: End of the period in which this member does not suspect others.
+        last_received_at: When the last message arrived.
+        last_answered_at: When the last answer arrived.
     """
 
     def __init__(self, context: ProtocolContext):
@@ -33,32 +33,32 @@
         self.quiet_until = -inf
         self.last_received_at = -inf
         self.last_answered_at = -inf
-        self._unreachable: dict[int, float] = {}  # members that could not be reached, and when
-        self._false_suspicions: dict[int, float] = {}  # those of them that turned out to be alive, and when
+        self._unreachable: dict[int, float] = {}  # When a probe of a member last failed, by member.
+        self._false_suspicions: dict[int, float] = {}  # When an unreachable member proved alive, by member.
 
     @property
     def slowdown(self) -> float:
-        """The factor by which timeouts of own probes are longer."""
+        """The factor by which the timeouts of this member's probes are extended."""
         return 1 + self.score
 
     @property
     def is_view_reliable(self) -> bool:
-        """Whether others may act on the view."""
+        """Whether the view is good enough to act on, for example to divide shared limits."""
         return self.status in (LocalStatus.HEALTHY, LocalStatus.PAUSED)
 
     @property
     def has_ended(self) -> bool:
-        """Whether this member takes no part: it left, or a later process has its place."""
+        """Whether this process no longer takes part: its member left, or another process superseded it."""
         return self.status in (LocalStatus.LEFT, LocalStatus.SUPERSEDED)
 
     def reset_times(self, now: float) -> None:
-        """Restart all clocks: events are in time and others in contact as of now."""
+        """Set the times of the last event and of the last contact to now."""
         self.last_event_at = now
         self.expected_at = now
         self.reset_contact_times(now)
 
     def reset_contact_times(self, now: float) -> None:
-        """Restart the clocks of contact: others send and answer as of now."""
+        """Set the times of the last message and of the last answer to now."""
         self.last_received_at = now
         self.last_answered_at = now
 
@@ -69,19 +69,19 @@
             self._commands.add(StatusChanged(status))
 
     def start_quiet_period(self, now: float) -> None:
-        """Do not judge others for a while."""
+        """Suspect nobody for the configured quiet period."""
         self.quiet_until = now + self._config.quiet_period
 
     def improve(self) -> None:
-        """Record that a probe was answered."""
+        """Lower the score: a probe was answered."""
         self.score = max(0.0, self.score - 0.5)
 
     def worsen(self) -> None:
-        """Record evidence that this member, not another one, is slow."""
+        """Raise the score: there is evidence that this member itself is slow."""
         self.score = min(MAX_LOCAL_HEALTH_SCORE, self.score + 1)
 
     def record_event(self, now: float) -> float:
-        """Record that an event is handled; return the seconds by which it is late."""
+        """Record that an event is being handled; return its delay in seconds."""
         if self.last_event_at == -inf:
             return 0.0
         delay = now - max(self.expected_at, self.last_event_at)
@@ -93,16 +93,19 @@
         self._unreachable[member] = now
 
     def is_unreachable(self, member: int) -> bool:
-        """Return whether a member could not be reached lately and has sent nothing since."""
+        """Return whether a recent probe of a member failed, and no message from it has arrived since."""
         return member in self._unreachable
 
     def record_false_suspicion(self, now: float, member: int) -> None:
-        """Record that a member taken as unreachable is alive after all."""
+        """Record that a member that was found unreachable is alive."""
         del self._unreachable[member]
         self._false_suspicions[member] = now
 
     def may_suspect_others(self, now: float) -> bool:
-        """Return whether this member may suspect others and declare them dead."""
+        """Return whether this member may suspect others and declare them dead.
+
+        It may not while its own failure is the likelier cause of missing answers.
+        """
         if not self._config.monitors_itself:
             return True
         if self.status is not LocalStatus.HEALTHY or now < self.quiet_until:
@@ -110,7 +113,7 @@
         return not self._has_many_false_suspicions(now)
 
     def check_contact(self, now: float, has_peers: bool) -> None:
-        """Derive the status from the times of the last message and the last answer."""
+        """Update the status from the times of the last message and the last answer."""
         config = self._config
         if self.status is LocalStatus.PAUSED and now >= self.quiet_until:
             self.set_status(LocalStatus.HEALTHY)
@@ -124,7 +127,10 @@
             self.set_status(LocalStatus.UNANSWERED)
 
     def _has_many_false_suspicions(self, now: float) -> bool:
-        """Return whether several members taken as unreachable are alive, more than are not."""
+        """Return whether too many of the members found unreachable in the window proved to be alive.
+
+        That is at least `min_false_suspicions`, and no fewer than are still unreachable.
+        """
         minimum = self._config.min_false_suspicions
         if len(self._false_suspicions) < minimum:
             return False
--- a/applevale/membership/probes.py
+++ b/applevale/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes that wait for an answer."""
+"""Probes of members, their deadlines, and the table of those that wait for an answer."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
     Attributes:
         subject: The member that was pinged.
-        incarnation: Its incarnation at the time; the answer of an earlier one does not count.
+        incarnation: The subject's incarnation at the time; an answer with an earlier one is ignored.
         retry_at: When the second ping is due; infinite once it was sent.
-        indirect_at: When helpers are asked; infinite once they were, and where none are.
-        expires_at: When the probe has failed.
-        requester: The member that this one helps; None for a probe of its own.
-        request_sequence_number: The sequence number of that member's request.
-        helper_count: Helpers that were asked.
+        indirect_at: When helpers are asked; infinite once they were asked, or if the probe uses none.
+        expires_at: When the probe fails.
+        requester: The member on whose behalf this one probes; None for a probe of its own.
+        request_sequence_number: Sequence number of the requester's ping request.
+        helper_count: Number of helpers that were asked.
         failed_helpers: Helpers that could not reach the subject either.
-        is_verification: Whether it verifies the suspicion of others, without helpers.
+        is_verification: Whether the probe verifies a suspicion that others raised.
     """
 
     subject: int
@@ -44,11 +44,11 @@
 
 
 class ProbeTable:
-    """The probes that wait for an answer, by sequence number, and when the next one is due.
+    """Starts probes and keeps those that wait for an answer.
 
     Attributes:
-        pending: Probes by sequence number.
-        next_probe_at: When the next member is probed, in seconds.
+        pending: Probes that wait for an answer, by sequence number.
+        next_probe_at: When the next member is to be probed, in seconds.
     """
 
     def __init__(self, context: ProtocolContext, sender: MessageSender, health: LocalHealth):
@@ -63,19 +63,19 @@
         self._last_sequence_number = 0
 
     def next_sequence_number(self) -> int:
-        """Return a new sequence number."""
+        """Return the next sequence number; the numbers wrap around after `SEQUENCE_NUMBERS`."""
         self._last_sequence_number = (self._last_sequence_number + 1) % SEQUENCE_NUMBERS
         return self._last_sequence_number
 
     def next_deadline(self) -> float:
-        """Return when a probe has to be looked at next."""
+        """Return the earliest deadline of any pending probe, in seconds; infinite without probes."""
         return min(
             (min(probe.retry_at, probe.indirect_at, probe.expires_at) for probe in self.pending.values()),
             default=inf,
         )
 
     def start(self, now: float, subject: int) -> None:
-        """Probe a member, later with the help of others."""
+        """Probe a member; helpers are asked later if it does not answer."""
         config = self._config
         slowdown = self._health.slowdown
         probe = Probe(
@@ -88,7 +88,7 @@
         self._ping(now, probe, PROBE_RESERVE_BYTES)
 
     def start_verification(self, now: float, subject: int) -> None:
-        """Probe a member that others suspect, without helpers."""
+        """Probe a member that others suspect; no helpers are asked."""
         slowdown = self._health.slowdown
         probe = Probe(
             subject=subject,
@@ -103,7 +103,7 @@
     def start_for_requester(
         self, now: float, subject: int, requester: int, request_sequence_number: int
     ) -> None:
-        """Probe a member for another one."""
+        """Probe a member on behalf of another one; no helpers are asked."""
         probe = Probe(
             subject=subject,
             incarnation=self._view.table.records[subject].incarnation,
@@ -116,18 +116,18 @@
         self._ping(now, probe, HELP_RESERVE_BYTES)
 
     def postpone(self, delay: float) -> None:
-        """Put all deadlines off: this process was late, and answers may lie in its socket."""
+        """Postpone all deadlines: this process was delayed, and answers may still be unread in the socket."""
         for probe in self.pending.values():
             probe.retry_at += delay
             probe.indirect_at += delay
             probe.expires_at += delay + self._config.delay_threshold
 
     def clear(self) -> None:
-        """Forget all probes."""
+        """Discard all pending probes."""
         self.pending.clear()
 
     def snapshot(self) -> Iterator[tuple[int, Probe]]:
-        """Iterate over the probes pending now, by sequence number; they may be removed meanwhile."""
+        """Iterate over a copy of the pending probes, so that probes may be removed during the iteration."""
         return iter(list(self.pending.items()))
 
     def _ping(self, now: float, probe: Probe, reserve: float) -> None:
--- a/applevale/membership/self_monitor.py
+++ b/applevale/membership/self_monitor.py
@@ -8,10 +8,10 @@
 
 
 class SelfMonitor:
-    """Guards all judgement against a process that stood still."""
+    """Detects pauses of this process, so that it does not blame others for the messages that it missed."""
 
     def __init__(self, context: ProtocolContext, components: SharedComponents):
-        """Create a monitor of these components."""
+        """Create a monitor of the given components."""
         self._config = context.config
         self._identity = context.identity
         self._stats = context.stats
@@ -21,7 +21,7 @@
         self._local = components.local
 
     def check_for_pause(self, now: float) -> None:
-        """Handle a late event; call it first at each event, whichever it is."""
+        """React if the current event is late. It must be called first for each event of any kind."""
         delay = self._health.record_event(now)
         if not self._config.monitors_itself or delay <= self._config.delay_threshold:
             return
@@ -35,7 +35,10 @@
             self.recover(now)
 
     def recover(self, now: float) -> None:
-        """Start all judgement anew: messages were missed, and others may suspect this member."""
+        """Restart probes, timeouts and contact times after messages were missed.
+
+        Others may suspect this member by now, so it raises its incarnation.
+        """
         self._probes.clear()
         self._health.start_quiet_period(now)
         self._health.reset_contact_times(now)
