--- a/applevale/membership/suspicion.py
+++ b/applevale/membership/suspicion.py
@@ -1,12 +1,12 @@
-"""The suspicion of one member, and the timeouts after which it is declared dead. No I/O, no clock.
+"""The suspicion against one member, and the timeouts after which it is declared dead. No I/O, no clock.
 
 Invariants:
 
-- Only distinct observers at one incarnation count; the member itself never does.
-- Fewer observers than the quorum declare nobody dead, however old the suspicion is.
-- The timeout starts once there is a quorum anywhere: only then the suspect is informed. Of the age that
-  others report, `MAX_REPORTED_AGE_SECONDS` count at most: a false report gains little, and the rest is waited
-  for here.
+- Only distinct observers at one incarnation count; the suspect itself does not.
+- Fewer observers than the quorum never declare a member dead, however old the suspicion is.
+- The timeout starts when any member first sees a quorum, because the suspect is informed only from then on.
+  At most `MAX_REPORTED_AGE_SECONDS` of the age that others report count, so that a false report shortens the
+  timeout by little.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from .messages import MAX_OBSERVERS
 
 MAX_REPORTED_AGE_SECONDS = 0.8
-MAX_AGE_WITHOUT_QUORUM_SECONDS = 3.0  # for which a suspicion without a quorum is kept
+MAX_AGE_WITHOUT_QUORUM_SECONDS = 3.0  # Counted from the latest new observer.
 
 
 @dataclass(frozen=True)
 class SuspicionTimeouts:
-    """Seconds from a quorum of observers to the declaration of death.
+    """The quorum of observers, and the time from the quorum until the suspect is declared dead.
 
     Attributes:
-        required_observers: The quorum in a fleet that has enough observers.
-        fast_observers: Observers from which on `min_timeout` applies.
-        min_timeout: Seconds with `fast_observers` and more.
-        max_timeout: Seconds with just the quorum.
+        required_observers: The quorum in a fleet with at least as many observers.
+        fast_observers: Number of observers from which on `min_timeout` applies.
+        min_timeout: Timeout in seconds with `fast_observers` or more.
+        max_timeout: Timeout in seconds with just the quorum.
     """
 
     required_observers: int = 3
@@ -37,18 +37,18 @@
     max_timeout: float = 2.4
 
     def quorum(self, eligible_count: int) -> int:
-        """Return the observers needed where `eligible_count` members may observe.
+        """Return the number of observers needed if `eligible_count` members may observe the suspect.
 
-        It is at least two where more than one is required: a fleet of two declares nobody dead.
+        It is at least two if more than one is required, so a fleet of two never declares a member dead.
         """
         return min(self.required_observers, max(2, eligible_count))
 
     def fast_quorum(self, eligible_count: int) -> int:
-        """Return the observers from which on the timeout is the shortest."""
+        """Return the number of observers from which on the timeout is the shortest."""
         return max(self.quorum(eligible_count), min(self.fast_observers, eligible_count))
 
     def timeout(self, observer_count: int, eligible_count: int) -> float:
-        """Return the seconds from the quorum to death; they shrink as more observers agree."""
+        """Return the seconds from the quorum to the death; they decrease as more observers agree."""
         quorum = self.quorum(eligible_count)
         fast_quorum = self.fast_quorum(eligible_count)
         if observer_count >= fast_quorum:
@@ -61,17 +61,18 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """Observers that could not reach a member at one incarnation.
+    """The observers that could not reach a member at one incarnation. All times are in seconds.
 
     Attributes:
-        incarnation: The incarnation that is suspected.
-        updated_at: When the last new observer was added.
-        quorum_at: When there was a quorum here; infinite without one.
-        started_at: When there was a quorum anywhere, as far as that counts; infinite without one.
-        observers: The distinct observers, in the order in which they were added.
-        relayed_observer_count: Observers that were relayed to others already.
-        next_check_at: When this member pings or probes the suspect again.
-        final_check_started: Whether the last check before the death was started.
+        incarnation: The suspected incarnation.
+        updated_at: When the latest new observer was added.
+        quorum_at: When this member first saw a quorum; infinite without one.
+        started_at: When the timeout started: when any member first saw a quorum, within the bound on reported
+            ages; infinite without one.
+        observers: The distinct observers as keys, in the order in which they were added.
+        relayed_observer_count: Number of observers when the suspicion was last relayed.
+        next_check_at: When this member pings or probes the suspect again; infinite if it does not verify it.
+        final_check_started: Whether the last check before the death has started.
     """
 
     incarnation: int
@@ -89,8 +90,8 @@
         Args:
             now: The time, in seconds.
             observers: Members that could not reach the suspect.
-            age: Seconds since there was a quorum, where that is reported.
-            quorum: Observers that are needed.
+            age: Reported seconds since there was a quorum; 0 without such a report.
+            quorum: Number of observers needed.
         """
         former_count = len(self.observers)
         for observer in observers:
@@ -105,7 +106,7 @@
         return has_new
 
     def restart(self, now: float) -> None:
-        """Start the timeout anew: a refutation may have been missed."""
+        """Restart the timeout, since a refutation may have been missed."""
         self.updated_at = now
         self.final_check_started = False
         if self.quorum_at < inf:
@@ -113,5 +114,5 @@
             self.started_at = now
 
     def is_stale(self, now: float) -> bool:
-        """Return whether there never was a quorum and the last observer is long ago."""
+        """Return whether there has been no quorum, and no new observer for a while."""
         return self.quorum_at == inf and now - self.updated_at > MAX_AGE_WITHOUT_QUORUM_SECONDS
--- a/applevale/membership/suspicion_monitor.py
+++ b/applevale/membership/suspicion_monitor.py
@@ -1,4 +1,4 @@
-"""Suspicions: how they are raised, and end in a death."""
+"""Raises suspicions against members, relays them, and declares members dead."""
 
 from __future__ import annotations
 
@@ -13,8 +13,9 @@
 from .updates import UpdateHandler
 
 
-def _is_same_incarnation(one: int, other: int) -> bool:
-    return one & INCARNATION_LOW_MASK == other & INCARNATION_LOW_MASK
+def _have_same_low_bits(first: int, second: int) -> bool:
+    """Return whether two incarnations agree in the bits that a suspicion update carries."""
+    return first & INCARNATION_LOW_MASK == second & INCARNATION_LOW_MASK
 
 
 class SuspicionMonitor:
@@ -27,7 +28,7 @@
         updates: UpdateHandler,
         verifier: SuspicionVerifier,
     ):
-        """Create a monitor of the suspicions in a table."""
+        """Create a monitor of the suspicions in the given components."""
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
@@ -38,27 +39,30 @@
         self._local = components.local
         self._updates = updates
         self._verifier = verifier
-        self._batch_started_at = inf  # when the first death of the present batch was due
+        self._batch_started_at = inf  # When the first death of the current batch was due.
 
     def on_update(self, now: float, sender: int, update: SuspicionUpdate) -> None:
-        """Handle the observers against a member that `sender` relays."""
+        """Handle a suspicion that `sender` relays."""
         member = update.member
         if not all(map(self._view.contains, (member, *update.observers))):
             return
         known = self._view.table.records[member]
         is_outdated = known.incarnation & INCARNATION_LOW_MASK != update.incarnation
         if known.is_known and (is_outdated or known.state is MemberState.LEFT):
-            # The sender may be behind.
+            # The sender may have an outdated record.
             self._sender.send_gossip(now, sender, (MemberUpdate(member, known),), HELP_RESERVE_BYTES)
             return
         quorum = self._suspicions.quorum(member)
         excluded = (member, self._identity.member)
-        observers = tuple(dict.fromkeys(one for one in update.observers if one not in excluded))
+        observers = tuple(
+            dict.fromkeys(observer for observer in update.observers if observer not in excluded)
+        )
         if member == self._identity.member:
             self._on_own_suspicion(now, update, len(observers) >= quorum)
             return
         if len(observers) < min(self._config.min_relayed_observers, quorum):
-            observers = tuple(one for one in observers if one == sender)  # too few are not relayed
+            # So few observers are not to be relayed: only the sender's own observation counts.
+            observers = tuple(observer for observer in observers if observer == sender)
         age = update.age if len(observers) >= quorum else 0.0
         self.suspect(now, member, update.incarnation, observers, age)
 
@@ -69,13 +73,13 @@
 
         Args:
             now: The time, in seconds.
-            member: The member that they could not reach.
-            incarnation: Its incarnation, or the lowest bits of it.
-            observers: The observers.
-            age: Seconds since there was a quorum, where that is reported.
+            member: The suspect.
+            incarnation: The suspect's incarnation, or only its low bits.
+            observers: Members that could not reach the suspect.
+            age: Reported seconds since there was a quorum; 0 without such a report.
         """
         known = self._view.table.records[member]
-        if not observers or not known.is_alive or not _is_same_incarnation(incarnation, known.incarnation):
+        if not observers or not known.is_alive or not _have_same_low_bits(incarnation, known.incarnation):
             return
         suspicion = self._suspicions.active.get(member)
         if suspicion is None:
@@ -93,9 +97,9 @@
         self._suspicions.reschedule()
 
     def remove_expired(self, now: float) -> None:
-        """Declare members dead whose timeout is over.
+        """Declare suspects dead whose timeout has passed.
 
-        Deaths due within a short time are one change of the view: the first waits a little for the next.
+        A death waits briefly for others that are due soon, so that they make one change of the view.
         """
         suspicions = self._suspicions
         if now < suspicions.next_deadline:
@@ -106,7 +110,8 @@
             return
         self._verifier.verify_suspects(now)
         expiries = {
-            one: suspicions.expires_at(one, suspicion) for one, suspicion in suspicions.active.items()
+            member: suspicions.expires_at(member, suspicion)
+            for member, suspicion in suspicions.active.items()
         }
         expired = [member for member, expires_at in expiries.items() if expires_at <= now]
         upcoming = [expires_at for expires_at in expiries.values() if now < expires_at <= now + window]
@@ -125,7 +130,7 @@
             self._local.on_own_record(now, identity.record(MemberState.SUSPECT))
 
     def _relay(self, member: int, suspicion: Suspicion, former_count: int) -> None:
-        """Disseminate a suspicion with a new observer, where that makes a difference to others."""
+        """Disseminate a suspicion with a new observer if others may lack it for a quorum or fast quorum."""
         quorum = self._suspicions.quorum(member)
         fast_quorum = self._config.timeouts.fast_quorum(self._view.eligible_observers(member))
         count = len(suspicion.observers)
--- a/applevale/membership/suspicion_table.py
+++ b/applevale/membership/suspicion_table.py
@@ -1,4 +1,4 @@
-"""The suspicions of all members, and the claims that a member died or left."""
+"""The suspicions against all members, and the claims that members died or left."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 @dataclass
 class Claim:
-    """A record of a death or leave, and the distinct members that hold it."""
+    """A record that a member died or left, and the distinct members that reported it."""
 
     record: MemberRecord
     claimants: set[int] = field(default_factory=set)
 
 
 class SuspicionTable:
-    """The suspicions and claims of all members.
+    """The suspicions against all members, and the claims that members died or left.
 
     Attributes:
-        active: Suspicions by member.
-        dead_members: Members declared dead: the suspicion each died by.
-        pending_claims: Claims of deaths and leaves that too few members make.
-        next_deadline: When a suspicion has to be looked at next, in seconds.
+        active: Suspicions against members that are alive, by member.
+        dead_members: The suspicion that led to the death of a member, by dead member.
+        pending_claims: Claims that too few members have reported so far, by the member that they are about.
+        next_deadline: When to check the suspicions next, in seconds; infinite without any check.
     """
 
     def __init__(self, config: ProtocolConfig, view: MembershipView):
@@ -39,7 +39,7 @@
         self.next_deadline = inf
 
     def quorum(self, member: int) -> int:
-        """Return the distinct observers that are needed against a member."""
+        """Return the number of distinct observers needed against a member."""
         return self._config.timeouts.quorum(self._view.eligible_observers(member))
 
     def has_quorum(self, member: int) -> bool:
@@ -48,7 +48,7 @@
         return suspicion is not None and len(suspicion.observers) >= self.quorum(member)
 
     def expires_at(self, member: int, suspicion: Suspicion) -> float:
-        """Return when a suspected member is declared dead; infinite without a quorum."""
+        """Return when a suspect is declared dead, in seconds; infinite without a quorum."""
         if not self.has_quorum(member):
             return inf
         observer_count = len(suspicion.observers)
@@ -56,7 +56,10 @@
         return suspicion.started_at + self._config.timeouts.timeout(observer_count, eligible_count)
 
     def resolve(self, member: int, record: MemberRecord) -> None:
-        """Drop suspicion and claims of a member's former record; keep the suspicion that it died by."""
+        """Drop a member's suspicion and claims, since its record changed.
+
+        If the member died of a suspicion with a quorum, the suspicion is kept in `dead_members`.
+        """
         suspicion = self.active.pop(member, None)
         if record.state is MemberState.DEAD and suspicion is not None and suspicion.quorum_at < inf:
             self.dead_members[member] = suspicion
@@ -65,7 +68,7 @@
         self.pending_claims.pop(member, None)
 
     def add_claim(self, member: int, record: MemberRecord, claimant: int) -> bool:
-        """Record a member's claim of a death or leave; return whether enough distinct members make it."""
+        """Record a claim that a member died or left; return whether a quorum of members has made it."""
         claim = self.pending_claims.get(member)
         if claim is not None and claim.record != record:
             if record.precedence < claim.record.precedence:
@@ -78,7 +81,7 @@
         return len(claim.claimants) >= self.quorum(member)
 
     def retract(self, now: float, member: int, observer: int) -> None:
-        """Remove an observer that has reached the member after all."""
+        """Remove an observer that has reached the suspect after all."""
         suspicion = self.active.get(member)
         if suspicion is None:
             return
@@ -90,18 +93,18 @@
         self.reschedule()
 
     def restart_all(self, now: float) -> None:
-        """Start all timeouts anew."""
+        """Restart the timeouts of all suspicions."""
         for suspicion in self.active.values():
             suspicion.restart(now)
         self.reschedule()
 
     def discard_stale(self, now: float) -> None:
-        """Forget suspicions that never had a quorum."""
+        """Drop suspicions that have had no quorum and no new observer for a while."""
         for member in [member for member, suspicion in self.active.items() if suspicion.is_stale(now)]:
             del self.active[member]
 
     def reschedule(self) -> None:
-        """Work out `next_deadline` anew: the next check, final check or death."""
+        """Recompute `next_deadline` as the time of the next check, final check or death."""
         self.next_deadline = inf
         for member, suspicion in self.active.items():
             expires_at = self.expires_at(member, suspicion)
