--- a/applevale/membership/anti_entropy.py
+++ b/applevale/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: two members whose views differ exchange the records that do."""
+"""Anti-entropy: members whose views differ exchange the records in which they differ."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class AntiEntropy:
-    """Compares records by digests of their segments, and sends the segments that differ."""
+    """Compares the records of two members by the digests of their segments, and sends those that differ."""
 
     def __init__(self, context: ProtocolContext, sender: MessageSender, updates: UpdateHandler):
-        """Create it with no comparison made yet."""
+        """Initialize; the first sync may start at once."""
         self._config = context.config
         self._view = context.view
         self._stats = context.stats
@@ -27,7 +27,11 @@
         self._synced_at = -inf
 
     def request_sync(self, now: float, sender: int) -> None:
-        """Send the own digests to a member whose view differs, unless updates are still being spread."""
+        """Send this member's segment digests to a member whose view differs.
+
+        Syncs are at least `sync_interval` apart. While the view keeps changing, updates are still being
+        disseminated, and the next sync waits up to `MAX_SYNC_DELAY_SECONDS`.
+        """
         interval = self._config.sync_interval
         elapsed = now - self._synced_at
         is_changing = now - self._view.changed_at < interval
@@ -38,7 +42,7 @@
             self._stats.repairs += 1
 
     def on_segment_digests(self, now: float, sender: int, digests: tuple[int, ...]) -> None:
-        """Send the first segments that differ."""
+        """Send the first segments whose digests differ, at most `MAX_SEGMENTS_PER_SYNC`."""
         table = self._view.table
         for index in table.differing_segments(digests)[:MAX_SEGMENTS_PER_SYNC]:
             members = table.segment(index)
@@ -47,8 +51,8 @@
                 self._sender.send_segment(now, sender, first_member, tuple(table.records[first_member:end]))
 
     def on_segment(self, now: float, sender: int, message: Message) -> None:
-        """Handle the records that the sender holds; answer with those that are later here."""
-        later = []
+        """Apply the sender's newer records, and reply with the records that are newer here."""
+        newer = []
         for member, record in enumerate(message.segment_records, message.first_member):
             if not self._view.contains(member):
                 break
@@ -56,6 +60,6 @@
             if record.is_known and record.precedence > known.precedence:
                 self._updates.on_record(now, sender, member, record)
             elif known.is_known and known.precedence > record.precedence:
-                later.append(MemberUpdate(member, known))
-        if later:
-            self._sender.send_gossip(now, sender, tuple(later[:MAX_UPDATES]), HELP_RESERVE_BYTES)
+                newer.append(MemberUpdate(member, known))
+        if newer:
+            self._sender.send_gossip(now, sender, tuple(newer[:MAX_UPDATES]), HELP_RESERVE_BYTES)
--- a/applevale/membership/dissemination.py
+++ b/applevale/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: updates are piggybacked on messages, each a limited number of times."""
+"""Dissemination of updates: each is piggybacked on messages a limited number of times."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class BroadcastQueue:
-    """Members whose record or suspicion is still to be transmitted, and how many times."""
+    """The members whose record or suspicion is still to be transmitted, and how often each."""
 
     def __init__(self, config: ProtocolConfig, view: MembershipView, suspicions: SuspicionTable):
         """Create an empty queue."""
@@ -25,26 +25,29 @@
         self._transmits_left: dict[int, int] = {}
 
     def __bool__(self) -> bool:
-        """Whether anything is to be transmitted."""
+        """Return whether any update is still to be transmitted."""
         return bool(self._transmits_left)
 
     def add_record(self, member: int) -> None:
-        """Transmit the new record of a member; for a dead one, the suspicion it died by."""
+        """Queue the new record of a member; for a dead member, the suspicion that led to its death."""
         is_dead = member in self._suspicions.dead_members
         self._add(member, SUSPICION_TRANSMIT_FACTOR if is_dead else RECORD_TRANSMIT_FACTOR)
 
     def add_suspicion(self, member: int) -> None:
-        """Transmit the suspicion of a member."""
+        """Queue the suspicion against a member."""
         self._add(member, SUSPICION_TRANSMIT_FACTOR)
 
     def ensure_transmits(self, member: int, count: int) -> None:
-        """Transmit what is known of a member at least `count` times more."""
+        """Make sure that the update of a member is transmitted at least `count` more times."""
         self._transmits_left[member] = max(count, self._transmits_left.get(member, 0))
 
-    def take(self, now: float, room: int) -> tuple[Update, ...]:
-        """Return updates of at most `room` bytes, those transmitted least first, and count them."""
+    def take(self, now: float, max_bytes: int) -> tuple[Update, ...]:
+        """Return the updates to transmit next, in at most `max_bytes`, and count them as transmitted.
+
+        Updates with the most transmits left come first.
+        """
         updates: list[Update] = []
-        used = 0
+        used_bytes = 0
         transmits_left = self._transmits_left
         for member in nlargest(MAX_UPDATES_PER_DATAGRAM, transmits_left, key=transmits_left.__getitem__):
             update = self.update_for(now, member)
@@ -52,9 +55,9 @@
                 del transmits_left[member]
                 continue
             size = encoded_update_size(update)
-            if used + size > room:
+            if used_bytes + size > max_bytes:
                 break
-            used += size
+            used_bytes += size
             updates.append(update)
             transmits_left[member] -= 1
             if not transmits_left[member]:
@@ -62,7 +65,7 @@
         return tuple(updates)
 
     def update_for(self, now: float, member: int) -> Update | None:
-        """Return the suspicion of a member, else its record; None if there is nothing to relay."""
+        """Return the suspicion against a member, or else its record; None if neither may be relayed."""
         suspicions = self._suspicions
         suspicion = suspicions.active.get(member) or suspicions.dead_members.get(member)
         if suspicion is not None:
@@ -80,24 +83,25 @@
 
 
 class MemberStore:
-    """Applies a record to the view, the suspicions and the broadcast queue, all at once."""
+    """Applies a record to the view, the suspicions and the broadcast queue together."""
 
     def __init__(self, view: MembershipView, suspicions: SuspicionTable, broadcasts: BroadcastQueue):
-        """Create a store that writes to these components."""
+        """Create a store that writes to the given components."""
         self._view = view
         self._suspicions = suspicions
         self._broadcasts = broadcasts
 
     def apply(self, member: int, record: MemberRecord, broadcast: bool = True) -> None:
-        """Replace the record of a member by a later one.
+        """Replace the record of a member by one that overrides it.
 
         Args:
-            member: The member.
-            record: Its record, which the caller has found to be the later one.
-            broadcast: Whether it is transmitted to others.
+            member: The number of the member.
+            record: Its new record. The caller has checked that it overrides the known one.
+            broadcast: Whether the record is disseminated to others.
         """
         self._view.table.put(member, record)
         self._suspicions.resolve(member, record)
-        if broadcast:  # the number of transmits is that of the fleet before this change
+        if broadcast:
+            # Before `set_alive`: the number of transmits follows the fleet size before this change.
             self._broadcasts.add_record(member)
         self._view.set_alive(member, record.is_alive)
--- a/applevale/membership/rate_limiter.py
+++ b/applevale/membership/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Limits on what one sender makes this member do in a second."""
+"""Limits on the messages that are accepted and answered from one sender per second."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class SenderRateLimiter:
-    """Counts messages by sender, in windows of a second."""
+    """Counts messages by sender, in fixed windows of a second."""
 
     def __init__(self, stats: MembershipStats):
-        """Create a limiter that counts what it rejects in `stats`."""
+        """Create a limiter that counts rejected messages and answers in `stats`."""
         self._stats = stats
         self._window_start = -inf
         self._message_counts: dict[int, int] = {}
 
     def accept_message(self, now: float, sender: int) -> bool:
-        """Count a message; return whether its sender has not sent too many."""
+        """Count a message; return whether its sender is within its limit."""
         if now - self._window_start >= WINDOW_SECONDS:
             self._window_start = now
             self._message_counts.clear()
@@ -32,7 +32,7 @@
         return True
 
     def may_answer(self, sender: int) -> bool:
-        """Return whether a ping of this sender is answered."""
+        """Return whether a ping from this sender may be answered."""
         if self._message_counts.get(sender, 0) > MAX_ANSWERS_PER_SECOND:
             self._stats.floods += 1
             return False
--- a/applevale/membership/sender.py
+++ b/applevale/membership/sender.py
@@ -1,4 +1,4 @@
-"""Sending of messages within the bounds on bytes, with updates piggybacked."""
+"""Sends messages within the limit on bytes, and piggybacks updates on them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from .suspicion_table import SuspicionTable
 from .token_bucket import TokenBucket
 
-UNLIMITED = -inf  # as a reserve: the token bucket does not limit the message
+UNLIMITED = -inf  # A reserve with which the token bucket does not limit a message.
 
 
 class MessageSender:
     """Builds messages and queues them as commands.
 
-    The methods return False where the bounds do not allow the message; it is not sent later either.
+    The methods return whether the message was sent. A message that exceeds a limit is dropped, not delayed.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
     def send_ping(
         self, now: float, target: int, sequence_number: int, reserve: float = PROBE_RESERVE_BYTES
     ) -> bool:
-        """Send a ping."""
+        """Send a ping that leaves `reserve` bytes in the token bucket."""
         message = self._build(MessageKind.PING, target, sequence_number)
         return self._send(now, target, message, reserve)
 
@@ -68,7 +68,7 @@
     def send_ping_result(
         self, now: float, requester: int, sequence_number: int, subject: int, is_reachable: bool
     ) -> bool:
-        """Answer a ping request. That the subject was reached has the priority of a probe."""
+        """Answer a ping request; the answer that the subject is reachable has the priority of a probe."""
         message = self._build(
             MessageKind.PING_RESULT, requester, sequence_number, subject=subject, is_reachable=is_reachable
         )
@@ -79,11 +79,11 @@
     def send_gossip(
         self, now: float, target: int, updates: tuple[Update, ...] = (), reserve: float = 0.0
     ) -> bool:
-        """Send updates; without any, those that are to be disseminated."""
+        """Send the given updates; without any, queued updates are piggybacked as on other messages."""
         return self._send(now, target, self._build(MessageKind.GOSSIP, target, updates=updates), reserve)
 
     def send_segment_digests(self, now: float, target: int) -> bool:
-        """Send the digests of all segments of the records."""
+        """Send the digests of all segments of the record table."""
         digests = tuple(self._view.table.segment_digests)
         message = self._build(MessageKind.SEGMENT_DIGESTS, target, segment_digests=digests)
         return self._send(now, target, message, HELP_RESERVE_BYTES)
@@ -97,7 +97,8 @@
 
     def _build(self, kind: MessageKind, target: int, sequence_number: int = 0, **fields: Any) -> Message:
         receiver_record = self._view.table.records[target]
-        if self._suspicions.has_quorum(target):  # the suspect is informed by each message it gets
+        if self._suspicions.has_quorum(target):
+            # Each message to a suspect informs it of the suspicion, so that it can refute it.
             receiver_record = receiver_record.with_state(MemberState.SUSPECT)
         return Message(
             kind,
@@ -130,11 +131,11 @@
         if message.kind in (MessageKind.SEGMENT_DIGESTS, MessageKind.SEGMENT):
             return False
         active = self._suspicions.active
-        is_wasted = target in active or len(active) > MAX_PIGGYBACK_SUSPICIONS
-        return message.kind is not MessageKind.PING or not is_wasted
+        may_be_lost = target in active or len(active) > MAX_PIGGYBACK_SUSPICIONS
+        return message.kind is not MessageKind.PING or not may_be_lost
 
-    def _take_updates(self, now: float, room: int) -> tuple[Update, ...]:
-        affordable = int(self._bucket.refill(now) - GOSSIP_RESERVE_BYTES)
-        updates = self._broadcasts.take(now, min(room, affordable))
+    def _take_updates(self, now: float, max_bytes: int) -> tuple[Update, ...]:
+        affordable_bytes = int(self._bucket.refill(now) - GOSSIP_RESERVE_BYTES)
+        updates = self._broadcasts.take(now, min(max_bytes, affordable_bytes))
         self._bucket.consume(now, sum(map(encoded_update_size, updates)))
         return updates
--- a/applevale/membership/token_bucket.py
+++ b/applevale/membership/token_bucket.py
@@ -1,12 +1,12 @@
-"""A token bucket that bounds the bytes one member sends. No I/O, no clock."""
+"""A token bucket that limits the bytes that one member sends. No I/O, no clock."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 RATE_BYTES_PER_SECOND = 1400.0
-BURST_BYTES = 550.0  # no second sees more than rate and burst together, 1950 bytes
-INITIAL_BYTES = 100.0  # the process before a restart may have spent its burst a moment ago
+BURST_BYTES = 550.0  # Any period of one second sends at most rate and burst together, 1950 bytes.
+INITIAL_BYTES = 100.0  # Less than a burst: before a restart the previous process may just have sent one.
 
 
 @dataclass
@@ -15,8 +15,8 @@
 
     Attributes:
         rate: Bytes added per second.
-        capacity: The most bytes that accumulate.
-        available: Bytes that may be sent at `updated_at`.
+        capacity: Maximum of bytes that accumulate.
+        available: Bytes that may be sent as of `updated_at`.
         updated_at: Time of the last refill, in seconds; 0 before the first one.
     """
 
@@ -26,14 +26,14 @@
     updated_at: float = 0.0
 
     def refill(self, now: float) -> float:
-        """Add what accumulated since the last call; return the bytes that may be sent now."""
+        """Add the bytes that accumulated since the last refill; return the bytes that may be sent now."""
         elapsed = max(0.0, now - (self.updated_at or now))
         self.available = min(self.capacity, self.available + elapsed * self.rate)
         self.updated_at = max(self.updated_at, now)
         return self.available
 
     def consume(self, now: float, size: int, reserve: float = 0.0) -> bool:
-        """Take `size` bytes if at least `reserve` bytes remain; return whether they were taken."""
+        """Take `size` bytes if at least `reserve` bytes remain after that; return whether they were taken."""
         if self.refill(now) < size + reserve:
             return False
         self.available -= size
--- a/applevale/membership/updates.py
+++ b/applevale/membership/updates.py
@@ -1,4 +1,4 @@
-"""Changes of other members' records."""
+"""Handles the records of other members that messages carry."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class UpdateHandler:
-    """Decides which records of others are taken into the view."""
+    """Decides which records of other members are applied to the view."""
 
     def __init__(self, context: ProtocolContext, components: SharedComponents, join_prober: JoinProber):
-        """Create a handler that writes to these components."""
+        """Create a handler that writes to the given components."""
         self._config = context.config
         self._view = context.view
         self._stats = context.stats
@@ -24,7 +24,7 @@
         self._join_prober = join_prober
 
     def on_sender_alive(self, now: float, sender: int, message: Message) -> None:
-        """Take from a message that its sender is alive at its incarnation; 0: the sender is joining."""
+        """Record that the sender of a message is alive; ignored while the sender is joining."""
         if not message.incarnation:
             return
         known_incarnation = self._view.table.records[sender].incarnation
@@ -35,7 +35,10 @@
         self.on_record(now, sender, sender, record)
 
     def on_record(self, now: float, sender: int, member: int, record: MemberRecord) -> None:
-        """Handle a record of any member that `sender` holds."""
+        """Handle a record of any member that `sender` reports.
+
+        A death, and a leave that another member reports, is applied only once a quorum reports it.
+        """
         if not self._view.contains(member) or not record.is_known:
             return
         if member == self._view.local_member:
@@ -54,7 +57,7 @@
                 self.remove_members(now, (MemberUpdate(member, record),))
 
     def remove_members(self, now: float, removals: tuple[MemberUpdate, ...]) -> None:
-        """Take members as dead or left, and announce that at once."""
+        """Mark members as dead or left, and announce that at once."""
         for removal in removals:
             has_left = removal.record.state is MemberState.LEFT
             if self._view.table.records[removal.member].is_alive:
