--- a/applevale/membership/runner.py
+++ b/applevale/membership/runner.py
@@ -1,4 +1,4 @@
-"""Runs the membership protocol: its datagrams, its timer, and the announcements of its view."""
+"""Runs the membership protocol: its datagrams, its timer, and the log of its view and status."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from .fleet_size import EffectiveFleetSize
 from .protocol import MembershipProtocol
 
-MAX_LOGGED_CHANGES = 8  # in one line
+MAX_LOGGED_CHANGES = 8  # Limit for one log line.
 
 
 class MembershipRunner:
-    """Carries out the protocol's commands.
+    """Passes datagrams and time to the protocol, and carries out its commands.
 
-    Its clock is the monotonic one that also counts the time in which the machine is suspended.
+    The clock is monotonic and includes the time in which the machine is suspended.
     """
 
     def __init__(
@@ -33,7 +33,15 @@
         counters: Counters,
         on_resize: Callable[[int], None],
     ):
-        """Create a runner; `on_resize` is called with the new size by which shared limits are divided."""
+        """Create a runner and register it for the membership datagrams of the socket.
+
+        Args:
+            protocol: The protocol of this member.
+            fleet_size: The size by which shared limits are divided; the runner updates it.
+            datagrams: The socket of all datagrams between instances.
+            counters: Counters to which the protocol's statistics are added.
+            on_resize: Called with the new size whenever `fleet_size` changes.
+        """
         self._protocol = protocol
         self._fleet_size = fleet_size
         self._datagrams = datagrams
@@ -45,7 +53,7 @@
 
     @staticmethod
     def clock() -> float:
-        """Return the time in seconds since the machine was booted."""
+        """Return the time in seconds since the machine was booted, including time suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def start(self) -> None:
@@ -53,17 +61,17 @@
         self._execute(self._protocol.start(self.clock()))
 
     def leave(self) -> None:
-        """End cleanly: inform other members."""
+        """Leave the fleet and inform other members."""
         self._execute(self._protocol.leave(self.clock()))
 
     def stop(self) -> None:
-        """Stop the timer."""
+        """Cancel the timer; the protocol receives no ticks any more."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
     def dump_state(self) -> None:
-        """Update the counters and emit an event with the view."""
+        """Update the counters, and emit an event with the status and the view."""
         view = self._protocol.view
         for name, count in vars(self._protocol.stats).items():
             self._counters[f"members_{name}"] = count
@@ -103,16 +111,19 @@
 
     def _announce_changes(self, changes: tuple[MemberChanged, ...]) -> None:
         alive_count = self._protocol.view.size
-        names = [(f"n{changed.member}", changed.change.value) for changed in changes]
-        emit_event("view", changes=names, living=alive_count)
-        listed = ", ".join(f"{name} {change}" for name, change in names[:MAX_LOGGED_CHANGES])
-        ellipsis = " …" if names[MAX_LOGGED_CHANGES:] else ""
-        log_event("membership", f"{alive_count} live: {listed}{ellipsis}")
+        named_changes = [(f"n{changed.member}", changed.change.value) for changed in changes]
+        emit_event("view", changes=named_changes, living=alive_count)
+        logged_changes = ", ".join(f"{name} {change}" for name, change in named_changes[:MAX_LOGGED_CHANGES])
+        ellipsis = ", …" if len(named_changes) > MAX_LOGGED_CHANGES else ""
+        log_event("membership", f"{alive_count} members alive after changes: {logged_changes}{ellipsis}")
 
     def _announce_status(self, status: LocalStatus) -> None:
         emit_event("stand", stand=status.value)
         if status is not LocalStatus.PAUSED:
-            log_event("membership", f"this one is {status.value}, of {self._protocol.view.size}")
+            alive_count = self._protocol.view.size
+            log_event(
+                "membership", f"the status of this member is {status.value}; {alive_count} members alive"
+            )
 
     def _update_fleet_size(self, now: float) -> None:
         former_size = self._fleet_size.size
@@ -132,5 +143,5 @@
 
 
 def new_process_id() -> int:
-    """Return a random number of 16 bits that distinguishes this process from the member's former ones."""
+    """Return a random number of 16 bits that distinguishes this process from the member's earlier ones."""
     return int.from_bytes(os.urandom(2), "big")
