--- a/applevale/membership/fleet_size.py
+++ b/applevale/membership/fleet_size.py
@@ -1,12 +1,12 @@
-"""The fleet size by which shared limits are divided while views may differ. No I/O, no clock.
+"""The fleet size by which shared limits are divided while the views of members may differ. No I/O, no clock.
 
 Invariants:
 
-- A member that returns counts at once. One that died enlarges the shares of the others only after
-  `SHRINK_DELAY_SECONDS` in which the view did not shrink further, when all members know of it.
-- The size never falls below half of the configured one: a group that is cut off does not take what the rest
-  uses.
-- Without a reliable view (joining, isolated, unanswered) the configured size holds.
+- A member that joins counts at once. A death enlarges the shares of the others only after
+  `SHRINK_DELAY_SECONDS` in which the view does not shrink further; by then all members know of it.
+- The size does not follow a view of less than half of the configured members: a group behind a network
+  partition must not use the share of the rest. The configured size applies then.
+- Without a reliable view (while joining, isolated or unanswered) the configured size applies.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     """The number of instances that share a limit.
 
     Attributes:
-        configured: Instances in the configuration.
-        size: Instances to divide by now.
-        candidate: The size that the view shows.
-        next_deadline: Time of the next `update` that may shrink the size, in seconds; infinite without one.
+        configured: Number of instances in the configuration.
+        size: The number to divide by now.
+        last_target: The size that the latest view called for.
+        next_deadline: When to call `update` next, in seconds; infinite unless a smaller size is pending.
     """
 
     configured: int
     size: int = 0
-    candidate: int = 0
+    last_target: int = 0
     next_deadline: float = inf
 
     def __post_init__(self) -> None:
@@ -38,17 +38,17 @@
         self.size = self.configured
 
     def update(self, now: float, alive_count: int, is_view_reliable: bool) -> int:
-        """Return the size to divide by from `now` on; call again at `next_deadline` at the latest."""
-        wanted = self.configured
+        """Return the size to divide by from `now` on. It must be called again by `next_deadline`."""
+        target = self.configured
         if is_view_reliable and 2 * alive_count >= self.configured:
-            wanted = alive_count
-        if wanted >= self.size:
-            self.size = wanted
+            target = alive_count
+        if target >= self.size:
+            self.size = target
             self.next_deadline = inf
-        elif self.next_deadline == inf or wanted < self.candidate:
+        elif self.next_deadline == inf or target < self.last_target:
             self.next_deadline = now + SHRINK_DELAY_SECONDS
         elif now >= self.next_deadline:
-            self.size = wanted
+            self.size = target
             self.next_deadline = inf
-        self.candidate = wanted
+        self.last_target = target
         return self.size
--- a/applevale/membership/local_member.py
+++ b/applevale/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This member's own record: how it joins, refutes what others hold of it, and leaves."""
+"""This member's own record: it joins, refutes false records of itself, and leaves."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LocalMember:
-    """The owner of this member's incarnation."""
+    """Maintains this member's incarnation and announces its changes to others."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         health: LocalHealth,
         probes: ProbeTable,
     ):
-        """Create the record of a member that knows no incarnation of its own."""
+        """Create the state of a member that has no incarnation yet."""
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
@@ -37,20 +37,24 @@
         self._probes = probes
         self._join_deadline = inf
         self._join_answers: set[int] = set()
-        self._highest_reported = 0  # the highest incarnation of this member that others reported
+        self._highest_reported = 0  # Highest incarnation of this member in the records of others.
         self._refuted_at = -inf
 
     @property
     def join_deadline(self) -> float:
-        """When joining ends at the latest, in seconds; infinite once it has ended."""
+        """The latest time at which joining ends, in seconds; infinite once it has ended."""
         return self._join_deadline if self._health.status is LocalStatus.JOINING else inf
 
     def start_join(self, now: float) -> None:
-        """Ask others for this member's incarnation, for a while."""
+        """Start to wait for others to report this member's last incarnation, until a deadline."""
         self._join_deadline = now + self._config.join_timeout
 
     def start_joined(self, process_ids: list[int]) -> None:
-        """Start as one of a fleet whose members know each other already, by these process ids."""
+        """Start in a fleet whose members all know each other already.
+
+        Args:
+            process_ids: The process id of each member, in the order of their numbers.
+        """
         self._health.set_status(LocalStatus.HEALTHY)
         self._identity.incarnation = 1
         for member, process_id in enumerate(process_ids):
@@ -58,12 +62,15 @@
             self._store.apply(member, record, broadcast=False)
 
     def record_join_answer(self, now: float, sender: int) -> None:
-        """Record that a member answered while this one joins."""
+        """Record that a member answered this joining one."""
         self._join_deadline = min(self._join_deadline, now + self._config.join_wait)
         self._join_answers.add(sender)
 
     def try_join(self, now: float) -> None:
-        """End the joining, with an incarnation above all that others know, once enough have answered."""
+        """End the joining once enough members have answered or the deadline has passed.
+
+        This member takes an incarnation above all that others reported.
+        """
         if now < self._join_deadline and len(self._join_answers) < MIN_JOIN_ANSWERS:
             return
         self._health.set_status(LocalStatus.HEALTHY)
@@ -72,7 +79,12 @@
         self.refute(now, self._highest_reported)
 
     def refute(self, now: float, reported: int) -> None:
-        """Raise the incarnation above a reported one, and inform as many members as possible at once."""
+        """Raise the incarnation above a reported one, and inform many members at once.
+
+        Args:
+            now: The time, in seconds.
+            reported: The incarnation that another member reported.
+        """
         is_recent = now - self._refuted_at < self._config.refutation_interval
         if is_recent and reported < self._identity.incarnation + 1:
             return
@@ -84,7 +96,7 @@
         self._announce(now, REFUTATION_FANOUT)
 
     def on_own_record(self, now: float, record: MemberRecord) -> None:
-        """Handle what another member holds of this one."""
+        """Handle another member's record of this one, and refute it if it is wrong."""
         if not record.is_known:
             return
         self._highest_reported = max(self._highest_reported, record.incarnation)
@@ -94,7 +106,7 @@
             return
         is_same_process = record.process_id == identity.process_id
         if not is_same_process and record.is_alive and record.incarnation > identity.incarnation:
-            self._health.set_status(LocalStatus.SUPERSEDED)  # by a later process that lives
+            self._health.set_status(LocalStatus.SUPERSEDED)
             self._probes.clear()
         elif status is LocalStatus.SUPERSEDED:
             if not record.is_alive:
@@ -103,14 +115,14 @@
             self.refute(now, record.incarnation)
 
     def leave(self, now: float) -> None:
-        """Inform others of a clean end, unless a later process has this member's place."""
+        """Leave the fleet; inform others, unless another process has superseded this one."""
         if self._health.status not in (LocalStatus.JOINING, LocalStatus.SUPERSEDED, LocalStatus.LEFT):
             self._store.apply(self._identity.member, self._identity.record(MemberState.LEFT))
             self._announce(now, LEAVE_FANOUT)
         self._health.set_status(LocalStatus.LEFT)
 
     def _resume(self, now: float, reported: int) -> None:
-        """Take part again: the later process has ended."""
+        """Take part again, after the process that superseded this one has ended."""
         self._health.set_status(LocalStatus.HEALTHY)
         self._health.reset_times(now)
         self._probes.next_probe_at = now
@@ -118,11 +130,12 @@
         self.refute(now, reported)
 
     def _contradicts(self, record: MemberRecord) -> bool:
-        """Return whether a record differs from what this member is, and has to be refuted."""
+        """Return whether a record contradicts the state of this member and has to be refuted."""
         identity = self._identity
         if record.state is not MemberState.ALIVE or record.incarnation > identity.incarnation:
             return True
-        return identity.process_id < record.process_id  # two processes at one incarnation: one has to yield
+        # Two processes have the same incarnation: the one with the lower process id takes a higher one.
+        return identity.process_id < record.process_id
 
     def _announce(self, now: float, fanout: int) -> None:
         others = list(self._view.alive) or self._view.other_members()
--- a/applevale/membership/protocol.py
+++ b/applevale/membership/protocol.py
@@ -1,18 +1,18 @@
-"""The membership protocol of one member: messages and times in, commands out. No I/O, no clock.
-
-The runner calls `start` once, `on_message` for each message with the number of its sender and `on_tick` at
-`next_deadline` or soon after, and carries out the commands that each returns. Invariants:
-
-- A member is declared dead only by enough distinct observers at its present incarnation (suspicion.py), or by
-  as many distinct members that hold it dead; never by one.
-- A member that was paused, receives no messages or no answers does not judge others, and its timeouts for
-  them start anew once that is over.
-- A member that finds most of those it could not reach to be alive doubts itself in the same way.
-- A member that is held suspect, dead or left while it is alive refutes that with a higher incarnation. An
-  earlier process never does so against a later one that is alive.
-- The bytes sent keep to the token bucket: answers and probes go before gossip. State is bounded by the number
-  of members, answers to one sender by `MAX_ANSWERS_PER_SECOND`.
-- The wall clock plays no part, and nothing outlasts the process.
+"""The membership protocol of one member as a state machine. No I/O, no clock.
+
+The runner calls `start` once, `on_message` for each message with the number of its sender, and `on_tick` at
+`next_deadline` or soon after. It carries out the commands that each call returns. Invariants:
+
+- A member is declared dead only by a quorum of distinct observers at its current incarnation
+  (`suspicion.py`), or by as many distinct members that have declared it dead; never by a single one.
+- A member that was paused, or that receives no messages or no answers, does not suspect others. Its timeouts
+  for suspicions restart once it has recovered.
+- A member also suspects nobody while many of those that it could not reach prove to be alive.
+- A member that is alive refutes records that it is suspect, dead or left by a higher incarnation. An earlier
+  process never refutes a later one that is alive.
+- A token bucket limits the bytes sent; answers and probes take precedence over gossip. State is bounded by
+  the number of members, and answers to one sender by `MAX_ANSWERS_PER_SECOND`.
+- The protocol does not depend on the wall clock, and stores nothing beyond the life of the process.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class MembershipProtocol:
-    """The entry points of the protocol, and the wiring of its components."""
+    """The entry points of the protocol; constructs and connects its components."""
 
     def __init__(
         self,
@@ -53,10 +53,10 @@
 
         Args:
             member: The number of this member.
-            member_count: Members in the configuration.
-            process_id: A number of 16 bits, drawn anew at each start of the process.
+            member_count: Number of members in the configuration.
+            process_id: A random number of 16 bits, drawn at each start of the process.
             random: The source of all random draws.
-            config: Parameters; None: the defaults.
+            config: Parameters of the protocol; None for the defaults.
         """
         self.config = config or ProtocolConfig()
         self.identity = LocalIdentity(member, process_id)
@@ -89,7 +89,7 @@
 
     @property
     def is_view_reliable(self) -> bool:
-        """Whether others may act on the view."""
+        """Whether the view is good enough to act on, for example to divide shared limits."""
         return self.health.is_view_reliable
 
     def start(self, now: float) -> list[Command]:
@@ -100,13 +100,18 @@
         return self._finish(now)
 
     def start_joined(self, now: float, process_ids: list[int]) -> list[Command]:
-        """Start as one of a fleet whose members know each other already, by these process ids."""
+        """Start in a fleet whose members all know each other already.
+
+        Args:
+            now: The time, in seconds.
+            process_ids: The process id of each member, in the order of their numbers.
+        """
         self._start_clocks(now)
         self.local.start_joined(process_ids)
         return self._finish(now)
 
     def on_tick(self, now: float) -> list[Command]:
-        """Do what is due."""
+        """Handle all deadlines that have passed."""
         self.self_monitor.check_for_pause(now)
         if self.health.has_ended:
             return self._finish(now)
@@ -125,7 +130,10 @@
         return self._finish(now)
 
     def on_message(self, now: float, sender: int, message: Message) -> list[Command]:
-        """Handle a message; one of a stranger, of a flood or after the leave is ignored."""
+        """Handle a message.
+
+        It is ignored if its sender is unknown or exceeds its rate limit, or if this member has left.
+        """
         self.self_monitor.check_for_pause(now)
         is_unknown_sender = sender == self.identity.member or not self.view.contains(sender)
         if is_unknown_sender or self.status is LocalStatus.LEFT:
@@ -144,12 +152,12 @@
         return self._finish(now)
 
     def leave(self, now: float) -> list[Command]:
-        """End cleanly: inform others."""
+        """Leave the fleet and inform others."""
         self.local.leave(now)
         return self._finish(now)
 
     def next_deadline(self) -> float:
-        """Return when `on_tick` has to be called, in seconds; infinite once this member has ended."""
+        """Return when to call `on_tick` next, in seconds; infinite once this process no longer takes part."""
         if self.health.has_ended:
             return inf
         return min(
@@ -193,7 +201,7 @@
                 self.anti_entropy.on_segment(now, sender, message)
 
     def _finish(self, now: float) -> list[Command]:
-        """Add the announcement that is due, set the next deadline, and return all commands."""
+        """Add the announcement of changes if it is due, and return all commands of this event."""
         announcement = self.view.take_announcement(now)
         if announcement is not None:
             self.commands.add(announcement)
