--- a/applevale/gossip/__init__.py
+++ b/applevale/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Load reports that instances exchange."""
+"""Load reports: instances share with each other what they learn about the load of engines."""
--- a/applevale/gossip/exchange.py
+++ b/applevale/gossip/exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of load reports with peers: when datagrams leave, and what received ones lead to."""
+"""The exchange of load reports with peers: sends datagrams, and passes received ones to the driver."""
 
 from __future__ import annotations
 
@@ -11,31 +11,39 @@
 from .load_report_codec import VERSION, LoadReportError
 from .load_reports import LoadReports
 
-# Reports wait this long for a dispatch to share its datagram; dispatches are of no use when that late.
+# Time that a report waits for a dispatch with which it can share a datagram. Dispatches are sent at once, as
+# they would be useless after such a delay.
 REPORT_DELAY_SECONDS = 0.2
 
 
 class LoadReportSender:
     """Sends load reports to all peers.
 
-    A failure costs load reports and nothing else. Counters: `news_told`, `news_bytes`.
+    If sending fails, only load reports are lost. Counters: `news_told`, `news_bytes`.
     """
 
     def __init__(self, datagrams: DatagramSocket, reports: LoadReports, clock: UnixClock, counters: Counters):
-        """Send what `reports` decides on, by the socket of all datagrams."""
+        """Create a sender.
+
+        Args:
+            datagrams: The socket of all datagrams between instances.
+            reports: Decides what to send.
+            clock: The clock of the times of reports.
+            counters: The counters of sent datagrams and bytes.
+        """
         self.datagrams = datagrams
         self.reports = reports
         self.clock = clock
         self.counters = counters
-        self.timer: asyncio.TimerHandle | None = None  # of the next datagram
+        self.timer: asyncio.TimerHandle | None = None  # Sends the pending reports.
 
     def stop(self) -> None:
-        """Cancel the datagram that is pending."""
+        """Cancel the pending datagram."""
         if self.timer is not None:
             self.timer.cancel()
 
     def on_engine_report(self, engine: int, report: tuple[float, ...]) -> None:
-        """Share the load that an engine reported in an answer or to a probe."""
+        """Share the load that an engine reported in a response or to a probe."""
         self.reports.record_report(self.clock.now(), engine, report)
         if self.timer is None and self.reports.has_pending():
             self.timer = asyncio.get_running_loop().call_later(REPORT_DELAY_SECONDS, self._send)
@@ -56,12 +64,12 @@
 
 
 class LoadReportReceiver:
-    """Passes the load reports of peers to the driver. Counter: `news_heard`."""
+    """Passes load reports from peers to the driver. Counter: `news_heard`."""
 
     def __init__(
         self, datagrams: DatagramSocket, reports: LoadReports, driver: EventLoopDriver, counters: Counters
     ):
-        """Register for the load reports among the datagrams of the socket."""
+        """Register as the handler of load reports that arrive on the socket."""
         self.datagrams = datagrams
         self.reports = reports
         self.driver = driver
--- a/applevale/gossip/load_report_codec.py
+++ b/applevale/gossip/load_report_codec.py
@@ -1,8 +1,8 @@
-"""The binary form of the datagrams in which instances share the load of engines.
+"""Encoding of the datagrams in which instances share the load of engines.
 
-A datagram is a header (version, number of dispatches), then a dispatch entry (engine mark, threads) for each
-dispatch, then load entries (engine mark, one byte for each shared column) up to its end. All numbers are
-unsigned and big-endian.
+A datagram consists of a header (version, number of dispatches), a dispatch entry (short engine id, threads)
+for each dispatch, and load entries (short engine id, one byte for each shared column) up to its end. All
+numbers are unsigned and big-endian.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 MAX_DATAGRAM_BYTES = 64
 HEADER = struct.Struct(">BB")
 DISPATCH_ENTRY = struct.Struct(">HB")
-ENGINE_MARK = struct.Struct(">H")
+SHORT_ENGINE_ID = struct.Struct(">H")
 MAX_DISPATCHES = (MAX_DATAGRAM_BYTES - HEADER.size) // DISPATCH_ENTRY.size
 MAX_THREADS = 255
 
-# The columns that are shared, and the steps into which a byte divides the unit of each.
+# The columns that may be shared, and how many steps of the encoded byte make one unit of each.
 STEPS_PER_UNIT = {"active": 1, "waiting": 1, "cpu": 100, "disk_busy": 100, "memory_used": 100}
-MAX_VALUE = 254
-UNKNOWN_VALUE = 255  # the byte of a figure that the engine did not report
+MAX_ENCODED_FIGURE = 254
+UNKNOWN_ENCODED_FIGURE = 255
 UNKNOWN_FIGURE = -1.0
 
 
@@ -31,21 +31,31 @@
 
 
 class Dispatch(NamedTuple):
-    """Threads of work that an instance has sent to an engine."""
+    """Work that an instance has sent to an engine.
 
-    mark: int
+    Attributes:
+        short_id: The short id of the engine.
+        threads: The number of threads that the work occupies.
+    """
+
+    short_id: int
     threads: int
 
 
 class EngineLoad(NamedTuple):
-    """The figures of an engine's report, one byte for each shared column."""
+    """The report of an engine in encoded form.
+
+    Attributes:
+        short_id: The short id of the engine.
+        values: One byte for each shared column.
+    """
 
-    mark: int
+    short_id: int
     values: bytes
 
 
 class LoadDatagram(NamedTuple):
-    """The content of a datagram."""
+    """The decoded content of a datagram."""
 
     dispatches: list[Dispatch]
     loads: list[EngineLoad]
@@ -55,62 +65,71 @@
     """Conversion between the columns of engines' reports and the bytes of a load entry."""
 
     def __init__(self, columns: tuple[str, ...]):
-        """Choose the columns to share among `columns`, those of an engine's report in their order."""
-        # With the number of queries, the policy ignores how busy the cores and disks are.
+        """Choose the columns to share.
+
+        Args:
+            columns: The columns of an engine's report, in their order.
+        """
+        # If the number of queries is reported, the policy ignores the utilization of cores and disks.
         shared = ("active", "waiting", "memory_used") if "active" in columns else tuple(STEPS_PER_UNIT)
         self.columns = columns
-        self.positions = [
+        self.shared_positions = [
             position for position, name in enumerate(columns) if name in shared and name in STEPS_PER_UNIT
         ]
-        self.entry_size = ENGINE_MARK.size + len(self.positions)
+        self.entry_size = SHORT_ENGINE_ID.size + len(self.shared_positions)
 
     def encode_report(self, report: tuple[float, ...]) -> bytes:
-        """Return the bytes of the shared columns of a report; a negative figure is unknown."""
-        return bytes([self._encode_figure(position, report[position]) for position in self.positions])
+        """Encode the shared columns of a report; a negative figure counts as unknown."""
+        return bytes([self._encode_figure(position, report[position]) for position in self.shared_positions])
 
     def decode_report(self, values: bytes) -> tuple[float, ...]:
-        """Return a report with all columns; those that are not shared are unknown."""
+        """Decode a report; the figures of columns that are not shared are unknown."""
         report = [UNKNOWN_FIGURE] * len(self.columns)
-        for position, value in zip(self.positions, values):
-            if value != UNKNOWN_VALUE:
+        for position, value in zip(self.shared_positions, values):
+            if value != UNKNOWN_ENCODED_FIGURE:
                 report[position] = value / STEPS_PER_UNIT[self.columns[position]]
         return tuple(report)
 
     def _encode_figure(self, position: int, figure: float) -> int:
         if figure < 0:
-            return UNKNOWN_VALUE
-        return min(MAX_VALUE, round(figure * STEPS_PER_UNIT[self.columns[position]]))
+            return UNKNOWN_ENCODED_FIGURE
+        return min(MAX_ENCODED_FIGURE, round(figure * STEPS_PER_UNIT[self.columns[position]]))
+
 
+def short_engine_id(engine: int) -> int:
+    """Return the 16 bits that identify an engine in datagrams.
 
-def engine_mark(engine: int) -> int:
-    """Return the two bytes that stand for an engine; where two share a mark, an entry counts for both."""
+    They are not unique: an entry applies to all listed engines with the same short id.
+    """
     return (engine ^ engine >> 16) & 0xFFFF
 
 
 def encode(dispatches: Sequence[Dispatch], loads: Sequence[EngineLoad]) -> bytes:
-    """Return a datagram of these entries."""
+    """Encode dispatches and reports as a datagram."""
     parts = [HEADER.pack(VERSION, len(dispatches))]
-    parts += [DISPATCH_ENTRY.pack(mark, threads) for mark, threads in dispatches]
-    parts += [ENGINE_MARK.pack(mark) + values for mark, values in loads]
+    parts += [DISPATCH_ENTRY.pack(short_id, threads) for short_id, threads in dispatches]
+    parts += [SHORT_ENGINE_ID.pack(short_id) + values for short_id, values in loads]
     return b"".join(parts)
 
 
 def decode(data: bytes, load_entry_size: int) -> LoadDatagram:
-    """Return the content of a datagram.
+    """Decode a datagram.
 
     Raises:
-        LoadReportError: The version is another one, or the length does not fit the entries.
+        LoadReportError: The version is unknown, or the length does not match the number of entries.
     """
     if len(data) < HEADER.size or data[0] != VERSION:
-        raise LoadReportError(f"{len(data)} bytes that are no load report")
+        raise LoadReportError(f"{len(data)} bytes are not a load report of version {VERSION}")
     dispatch_count = data[1]
     loads_start = HEADER.size + DISPATCH_ENTRY.size * dispatch_count
     if loads_start > len(data) or (len(data) - loads_start) % load_entry_size:
-        raise LoadReportError(f"{len(data)} bytes that do not fit {dispatch_count} dispatches")
+        raise LoadReportError(
+            f"{len(data)} bytes do not hold {dispatch_count} dispatches and entries of {load_entry_size} bytes"
+        )
     dispatches = DISPATCH_ENTRY.iter_unpack(data[HEADER.size : loads_start])
     loads = []
     for start in range(loads_start, len(data), load_entry_size):
-        values_start = start + ENGINE_MARK.size
-        (mark,) = ENGINE_MARK.unpack_from(data, start)
-        loads.append(EngineLoad(mark, data[values_start : start + load_entry_size]))
-    return LoadDatagram([Dispatch(mark, threads) for mark, threads in dispatches], loads)
+        values_start = start + SHORT_ENGINE_ID.size
+        (short_id,) = SHORT_ENGINE_ID.unpack_from(data, start)
+        loads.append(EngineLoad(short_id, data[values_start : start + load_entry_size]))
+    return LoadDatagram([Dispatch(short_id, threads) for short_id, threads in dispatches], loads)
--- a/applevale/gossip/load_reports.py
+++ b/applevale/gossip/load_reports.py
@@ -1,15 +1,15 @@
-"""Load reports that instances exchange: what is sent, when, and at which cost. No I/O and no clock.
-
-An instance meets most engines seldom, so what one learns of an engine's load is new to its peers. And all
-that know the same would choose the same engine before its next report can show it, so each shares what it
-dispatches there. Invariants:
-
-- Only figures are shared, never a judgement: a faulty peer shifts a load, which fades within seconds
-  and is bounded in the policy, and ejects no engine.
-- A report is sent when the load has changed, or when no one has reported the engine for a while; reports
-  received from peers count too. So this traffic follows the engines, not the number of instances.
-- The cost is at most `MAX_COST_SHARE` of the worth of the instance's own requests.
-- A datagram that is malformed, or of an engine that is not on the list, changes nothing.
+"""Decides which load reports to exchange with peers, when, and within which budget. No I/O and no clock.
+
+An instance uses most engines rarely, so what it learns about the load of an engine is new to its peers. With
+the same reports all instances would choose the same idle engine before its next report shows the added load.
+Therefore instances also share their dispatches. Invariants:
+
+- Only figures are shared, no decisions. A faulty peer can only shift the estimated load of an engine, which
+  the policy bounds and which fades within seconds; it cannot eject an engine.
+- A report is sent if the load has changed, or if nobody has reported the engine for a while. Reports from
+  peers count too, so the traffic grows with the number of engines and not with the number of instances.
+- The cost is at most `MAX_COST_SHARE` of the worth of this instance's own requests.
+- A malformed datagram, and entries for an engine that is not on the engine list, change nothing.
 """
 
 from __future__ import annotations
@@ -31,43 +31,49 @@
     EngineLoad,
     decode,
     encode,
-    engine_mark,
+    short_engine_id,
 )
 
-MAX_COST_SHARE = 0.03  # of a request's worth that its load reports may cost
-DISPATCH_COST_SHARE = 0.025  # the part of it for dispatches
-FULL_PRICE_BYTES = 256.0  # delivered for each request, at which the settings' price is due in full
-MIN_PRICE = 1e-9  # stands for a price of 0
-MAX_BUDGET_BYTES = 64.0  # that may be saved up
-MIN_CHARGED_BYTES = 16  # for each datagram, as measured, however short it is
-REFRESH_INTERVAL_SECONDS = 0.4  # after which an engine is reported though its load is the same
-MIN_INTERVAL_SECONDS = 0.1  # between two reports of an engine
-MIN_RELATIVE_CHANGE = 0.25  # of the latest value: a change is larger than this and than MIN_CHANGE_STEPS
-MIN_CHANGE_STEPS = 2.0  # a step is one query or 1% of a share
-
-
-class SentReport(NamedTuple):
-    """The latest report of an engine that was sent or received, and its time (s)."""
+MAX_COST_SHARE = 0.03  # Share of a request's worth that the load reports sent for it may cost.
+DISPATCH_COST_SHARE = 0.025  # The part of `MAX_COST_SHARE` that is available for dispatches.
+FULL_PRICE_BYTES = 256.0  # Bytes delivered to peers for each request that cost the price in the settings.
+MIN_PRICE = 1e-9  # Replaces a price of 0 as a divisor.
+MAX_BUDGET_BYTES = 64.0  # Maximum that accumulates.
+MIN_CHARGED_BYTES = 16  # Minimum charge for a datagram, however short it is.
+REFRESH_INTERVAL_SECONDS = 0.4  # Time after which an unchanged load is reported again.
+MIN_INTERVAL_SECONDS = 0.1  # Minimum time between two reports of one engine.
+# A figure has changed if the difference exceeds both limits.
+MIN_RELATIVE_CHANGE = 0.25  # Share of the earlier figure.
+MIN_CHANGE_STEPS = 2.0  # In steps of the encoded byte: one query, or 1% of a utilization.
+
+
+class LatestReport(NamedTuple):
+    """The latest report of an engine that was sent or received.
+
+    Attributes:
+        at: When it was sent or received, in seconds.
+        values: The encoded figures, one byte for each shared column.
+    """
 
     at: float
     values: bytes
 
 
 class LoadReports:
-    """Decides which load reports and dispatches to send, and reads those of peers.
+    """Decides which load reports and dispatches to send, and decodes those of peers.
 
-    Each answer of an engine adds to a budget in bytes, from which datagrams are paid. Where the budget does
-    not suffice for all dispatches, a random share of them is sent, each standing for several.
+    Each report of an engine adds to a budget of bytes, and each datagram is charged to it. If the budget does
+    not suffice for all dispatches, only a random sample of them is sent, scaled up to represent all.
     """
 
     def __init__(self, columns: tuple[str, ...], peers: int, price: float, seed: int = 0):
-        """Create an empty state.
+        """Start without engines or reports, and with a full budget.
 
         Args:
             columns: The columns of engines' reports, in their order.
-            peers: Number of instances that each datagram is delivered to.
-            price: Share of a request's worth that `FULL_PRICE_BYTES` cost.
-            seed: Of the choice of the dispatches that are sent.
+            peers: Number of instances to which each datagram is delivered.
+            price: Share of the worth of a request that `FULL_PRICE_BYTES` cost.
+            seed: Seed of the random sample of dispatches.
         """
         bytes_per_request = FULL_PRICE_BYTES / max(price, MIN_PRICE) / max(1, peers)
         self.encoding = ColumnEncoding(columns)
@@ -75,21 +81,23 @@
         self.budget = MAX_BUDGET_BYTES
         self.dispatch_share = min(1.0, DISPATCH_COST_SHARE * bytes_per_request / MIN_CHARGED_BYTES)
         self.random = Random(seed)
-        self.sent_reports: dict[int, SentReport] = {}
-        self.engines_by_mark: dict[int, list[int]] = {}
-        self.pending_threads: dict[int, int] = {}  # of dispatches, by engine
-        self.pending_reports: dict[int, bytes] = {}  # values by engine
+        self.latest_reports: dict[int, LatestReport] = {}
+        self.engines_by_short_id: dict[int, list[int]] = {}
+        self.pending_threads: dict[int, int] = {}  # Threads of the dispatches to send, by engine.
+        self.pending_reports: dict[int, bytes] = {}  # Encoded figures to send, by engine.
 
     def set_engines(self, engines: Iterable[int]) -> None:
-        """Replace the list of engines; nothing is kept of others."""
-        self.engines_by_mark = {}
+        """Replace the list of engines, and drop the reports of engines that are no longer listed."""
+        self.engines_by_short_id = {}
         for engine in engines:
-            self.engines_by_mark.setdefault(engine_mark(engine), []).append(engine)
-        listed = {engine for sharing in self.engines_by_mark.values() for engine in sharing}
-        self.sent_reports = {engine: sent for engine, sent in self.sent_reports.items() if engine in listed}
+            self.engines_by_short_id.setdefault(short_engine_id(engine), []).append(engine)
+        listed = {engine for same_id in self.engines_by_short_id.values() for engine in same_id}
+        self.latest_reports = {
+            engine: report for engine, report in self.latest_reports.items() if engine in listed
+        }
 
     def record_dispatch(self, engine: int, threads: int) -> bool:
-        """Record an attempt that was sent to an engine; return whether to send a datagram at once."""
+        """Record an attempt sent to an engine; return whether it was sampled, so that a datagram is due."""
         if self.random.random() >= self.dispatch_share:
             return False
         pending = self.pending_threads.get(engine, 0) + round(threads / self.dispatch_share)
@@ -97,27 +105,30 @@
         return True
 
     def record_report(self, now: float, engine: int, report: tuple[float, ...]) -> None:
-        """Record a report that an engine gave; it becomes pending if it is worth sending."""
+        """Record the report of an engine; it becomes pending if peers need it."""
         self.budget = min(self.budget + self.budget_per_answer, MAX_BUDGET_BYTES)
-        if len(report) != len(self.encoding.columns) or not self.encoding.positions:
+        if len(report) != len(self.encoding.columns) or not self.encoding.shared_positions:
             return
         values = self.encoding.encode_report(report)
         if not self._is_due(now, engine, values):
             return
-        self.sent_reports[engine] = SentReport(now, values)
+        self.latest_reports[engine] = LatestReport(now, values)
         self.pending_reports[engine] = values
 
     def has_pending(self) -> bool:
-        """Return whether a dispatch or a report waits to be sent."""
+        """Return whether a dispatch or a report is pending."""
         return bool(self.pending_threads or self.pending_reports)
 
     def next_datagram(self) -> bytes | None:
-        """Return what is pending as one datagram, and forget all of it; None: nothing, or no budget."""
+        """Return the pending dispatches and reports as one datagram; None if there are none, or no budget.
+
+        Nothing is pending afterwards: what does not fit into the datagram or the budget is dropped.
+        """
         pending_threads = islice(self.pending_threads.items(), MAX_DISPATCHES)
-        dispatches = [Dispatch(engine_mark(engine), threads) for engine, threads in pending_threads]
-        room = MAX_DATAGRAM_BYTES - HEADER.size - DISPATCH_ENTRY.size * len(dispatches)
-        pending_reports = islice(self.pending_reports.items(), room // self.encoding.entry_size)
-        loads = [EngineLoad(engine_mark(engine), values) for engine, values in pending_reports]
+        dispatches = [Dispatch(short_engine_id(engine), threads) for engine, threads in pending_threads]
+        load_bytes = MAX_DATAGRAM_BYTES - HEADER.size - DISPATCH_ENTRY.size * len(dispatches)
+        pending_reports = islice(self.pending_reports.items(), load_bytes // self.encoding.entry_size)
+        loads = [EngineLoad(short_engine_id(engine), values) for engine, values in pending_reports]
         self.pending_threads = {}
         self.pending_reports = {}
         data = encode(dispatches, loads)
@@ -128,26 +139,26 @@
         return data
 
     def receive(self, now: float, data: bytes) -> list[api.PeerLoadReport]:
-        """Return a peer's datagram as events.
+        """Decode a peer's datagram into events for the policy.
 
         Raises:
-            LoadReportError: The datagram is malformed; nothing was changed.
+            LoadReportError: The datagram is malformed; the state is unchanged.
         """
         datagram = decode(data, self.encoding.entry_size)
         events = [
             api.PeerLoadReport(engine, (), dispatch.threads)
             for dispatch in datagram.dispatches
-            for engine in self.engines_by_mark.get(dispatch.mark, ())
+            for engine in self.engines_by_short_id.get(dispatch.short_id, ())
         ]
         for load in datagram.loads:
             report = self.encoding.decode_report(load.values)
-            for engine in self.engines_by_mark.get(load.mark, ()):
-                self.sent_reports[engine] = SentReport(now, load.values)
+            for engine in self.engines_by_short_id.get(load.short_id, ()):
+                self.latest_reports[engine] = LatestReport(now, load.values)
                 events.append(api.PeerLoadReport(engine, report))
         return events
 
     def _is_due(self, now: float, engine: int, values: bytes) -> bool:
-        latest = self.sent_reports.get(engine)
+        latest = self.latest_reports.get(engine)
         if latest is None:
             return True
         age = now - latest.at
@@ -156,8 +167,9 @@
         return age >= REFRESH_INTERVAL_SECONDS or _has_changed(latest.values, values)
 
 
-def _has_changed(former: bytes, current: bytes) -> bool:
+def _has_changed(former_values: bytes, values: bytes) -> bool:
+    """Return whether any figure has changed by more than the limits."""
     return any(
         abs(before - after) > max(MIN_CHANGE_STEPS, MIN_RELATIVE_CHANGE * before)
-        for before, after in zip(former, current)
+        for before, after in zip(former_values, values)
     )
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -14,7 +14,7 @@
 from applevale.dispatch.event_loop_driver import EventLoopDriver
 from applevale.engines.pool import EnginePool
 from applevale.gossip.exchange import LoadReportReceiver, LoadReportSender
-from applevale.gossip.load_report_codec import HEADER, MAX_DATAGRAM_BYTES, LoadReportError, engine_mark
+from applevale.gossip.load_report_codec import HEADER, MAX_DATAGRAM_BYTES, LoadReportError, short_engine_id
 from applevale.gossip.load_reports import (
     MAX_BUDGET_BYTES,
     MIN_CHARGED_BYTES,
@@ -118,18 +118,18 @@
 
 def test_a_mark_that_two_engines_share_counts_for_both_and_an_unlisted_one_for_none():
     same_mark = 1 ^ 0x00070007
-    assert engine_mark(same_mark) == engine_mark(1)
+    assert short_engine_id(same_mark) == short_engine_id(1)
     reports = load_reports((1, same_mark))
     dispatch = dispatch_datagram(reports, 1, 2)
     assert [event.engine for event in reports.receive(0.0, dispatch)] == [1, same_mark]
     report = report_datagram(reports, 0.0, 1, (5.0, 0.0, 0.0))
     reports.set_engines((same_mark,))
     assert [event.engine for event in reports.receive(0.0, dispatch)] == [same_mark]
-    assert not reports.sent_reports
+    assert not reports.latest_reports
     reports.set_engines(())
     assert reports.receive(0.0, dispatch) == []
     assert reports.receive(0.0, report) == []
-    assert not reports.sent_reports
+    assert not reports.latest_reports
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -142,7 +142,7 @@
     try:
         events = reports.receive(1.0, data)
     except LoadReportError:
-        assert not reports.sent_reports
+        assert not reports.latest_reports
         return
     assert all(event.engine in (1, 2) and 0 <= event.threads <= 255 for event in events)
     assert all(0 <= event.report[0] <= 254 or event.report[0] == -1 for event in events if event.report)
