--- a/applevale/zones/__init__.py
+++ b/applevale/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Routing among zones: preference, bounded spill from a lost zone, ramped recovery."""
+"""Routing among zones: preferred zones, limited spill from a lost zone, and its gradual recovery."""
--- a/applevale/zones/health.py
+++ b/applevale/zones/health.py
@@ -2,10 +2,10 @@
 
 Invariants:
 
-- A zone is lost on the evidence of at least `MIN_FAILED_ENGINES` engines (all of them, in a smaller zone) and
-  `MIN_FAILURES` failures within `RESULT_WINDOW_SECONDS`.
-- An engine counts by its latest result.
-- Where all zones fail alike, the cause is common to them and none is lost.
+- A zone is lost only if at least `MIN_FAILED_ENGINES` engines are failing (in a smaller zone: all engines),
+  with at least `MIN_FAILURES` failures within `RESULT_WINDOW_SECONDS`.
+- Only the latest result of an engine decides whether it is failing.
+- If all zones fail together, no zone is lost: the cause lies outside the zones.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 from dataclasses import dataclass, field
 from math import inf
 
-RESULT_WINDOW_SECONDS = 2.0  # for which a result counts
+RESULT_WINDOW_SECONDS = 2.0  # Older results do not count.
 MIN_FAILURES = 4
 MIN_FAILED_ENGINES = 2
-LOST_FAILED_SHARE = 0.6  # of the engines with recent results: from this share on the zone is lost
-COMMON_FAILED_SHARE = 0.5  # the same share in all other zones, from which on the cause is common
+# Shares of failing engines among the engines of a zone that have recent results.
+LOST_FAILED_SHARE = 0.6  # From this share on a zone is lost.
+COMMON_FAILED_SHARE = 0.5  # If all other zones reach this share, the cause is common and no zone is lost.
 
 
 @dataclass
 class EngineHealth:
-    """Times of the latest results of one engine, in s."""
+    """Times of the latest success and the latest failure of one engine, in seconds."""
 
     last_success: float = -inf
     last_failure: float = -inf
@@ -34,19 +35,24 @@
         return is_latest and now - self.last_failure <= RESULT_WINDOW_SECONDS
 
     def has_recent_result(self, now: float) -> bool:
-        """Return whether any result came within the window."""
+        """Return whether there was any result within the window."""
         return now - max(self.last_success, self.last_failure) <= RESULT_WINDOW_SECONDS
 
 
 @dataclass
 class ZoneHealth:
-    """Recent results of the engines of one zone."""
+    """Recent results of the engines of one zone.
+
+    Attributes:
+        engines: The health of each ready engine, by engine id.
+        failure_times: When the failures within the window occurred, in seconds and in order.
+    """
 
     engines: dict[int, EngineHealth] = field(default_factory=dict)
     failure_times: deque[float] = field(default_factory=deque)
 
     def set_engines(self, engine_ids: set[int]) -> None:
-        """Replace the engines of the zone; those that stay keep their results."""
+        """Replace the engines of the zone; engines that are still listed keep their results."""
         for engine_id in list(self.engines):
             if engine_id not in engine_ids:
                 del self.engines[engine_id]
@@ -67,17 +73,17 @@
             self.failure_times.popleft()
 
     def failed_share(self, now: float) -> float:
-        """Return the share of failing engines among those with recent results; 0 without enough evidence."""
+        """Return the share of failing engines among those with recent results; 0 with too few failures."""
         recent = [engine for engine in self.engines.values() if engine.has_recent_result(now)]
-        failing = sum(engine.is_failing(now) for engine in recent)
-        failures = sum(at >= now - RESULT_WINDOW_SECONDS for at in self.failure_times)
-        if failing < min(MIN_FAILED_ENGINES, len(self.engines)) or failures < MIN_FAILURES:
+        failing_count = sum(engine.is_failing(now) for engine in recent)
+        failure_count = sum(at >= now - RESULT_WINDOW_SECONDS for at in self.failure_times)
+        if failing_count < min(MIN_FAILED_ENGINES, len(self.engines)) or failure_count < MIN_FAILURES:
             return 0.0
-        return failing / len(recent)
+        return failing_count / len(recent)
 
 
 def find_lost_zones(zones: dict[int, ZoneHealth], now: float) -> set[int]:
-    """Return the zones whose engines fail together while those of another zone do not."""
+    """Return the zones whose engines fail while those of another zone do not."""
     shares = {zone: health.failed_share(now) for zone, health in zones.items() if health.engines}
     lost = {zone for zone, share in shares.items() if share >= LOST_FAILED_SHARE}
     other_shares = [share for zone, share in shares.items() if zone not in lost]
--- a/applevale/zones/plan.py
+++ b/applevale/zones/plan.py
@@ -1,6 +1,6 @@
-"""The plan file: capacity and demand of the zones, from which the limits on spill are computed.
+"""The plan file: capacity and demand of the zones, from which the spill limits are computed.
 
-`rename` maps the names of the fields to the keys of the file, which stay as they are.
+`rename` maps field names to the keys of the file, which are part of the stored format.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class ZonePair(NamedTuple):
-    """The zone that work leaves and the zone that receives it."""
+    """The home zone of spilled work, and the zone that receives it."""
 
     home: str
     target: str
@@ -23,9 +23,9 @@
     """One zone of a plan.
 
     Attributes:
-        capacity: Cores.
-        demand: Cores in use, by class.
-        instances: Number of instances whose home it is.
+        capacity: Number of cores.
+        demand: Number of cores in use, by class.
+        instances: Number of instances whose home zone this is.
     """
 
     capacity: Annotated[float, msgspec.Meta(gt=0)]
@@ -33,7 +33,7 @@
     instances: Annotated[int, msgspec.Meta(ge=1)] = 1
 
     def total_demand(self) -> float:
-        """Return the cores that all classes use together."""
+        """Return the number of cores that all classes use together."""
         return sum(self.demand.values())
 
 
@@ -47,11 +47,11 @@
 
     Attributes:
         zones: The zones by name.
-        tiers: For each home zone its choices in order.
-        spill_limits: Upper limits by pair of zones; where absent, the headroom alone limits a pair.
+        tiers: For each home zone, the tiers of zones that may take its work, in order of preference.
+        spill_limits: Limits for pairs of zones; a pair without one is limited by the headroom only.
         headroom: Share of a zone's capacity that may be used.
-        pinned_classes: Classes that may not leave their zone.
-        recovery: How a lost zone returns; taken over into the zones file.
+        pinned_classes: Classes whose work must stay in its home zone.
+        recovery: How a lost zone returns; copied to the zones file.
     """
 
     zones: dict[str, PlannedZone]
@@ -62,33 +62,33 @@
     recovery: RecoverySettings = RecoverySettings()
 
     def tier(self, pair: ZonePair) -> int | None:
-        """Return the tier of the target for the home zone, 0 for the first choice; None: it is in no tier."""
+        """Return the index of the home zone's tier that contains the target; None if no tier does."""
         for index, tier in enumerate(self.tiers.get(pair.home, [[pair.home]])):
             if pair.target in tier:
                 return index
         return None
 
     def max_flow(self, pair: ZonePair) -> float:
-        """Return the upper limit on the cores that a pair may use of the target."""
+        """Return how many cores of the target zone the home zone may use, by the limit of the pair."""
         share = find_share(self.spill_limits, pair.home, pair.target, default=1.0)
         return share * self.zones[pair.target].capacity
 
     def movable_demand(self, zone: str) -> float:
-        """Return the cores of a zone's classes that may leave it."""
+        """Return the cores that classes use whose work may leave the zone."""
         demand = self.zones[zone].demand
         return sum(cores for name, cores in demand.items() if name not in self.pinned_classes)
 
     def pinned_demand(self, zone: str) -> float:
-        """Return the cores of a zone's classes that may not leave it."""
+        """Return the cores that pinned classes use in the zone."""
         demand = self.zones[zone].demand
         return sum(cores for name, cores in demand.items() if name in self.pinned_classes)
 
 
 def read_plan(raw: bytes) -> ZonePlan:
-    """Decode a plan and check that it names known zones only.
+    """Decode a plan and check that all zones it refers to are defined.
 
     Raises:
-        ZonesError: The plan cannot be used.
+        ZonesError: The plan is malformed or refers to an undefined zone.
     """
     try:
         plan = msgspec.json.decode(raw, type=ZonePlan)
@@ -106,4 +106,4 @@
 def _check_zone_names(plan: ZonePlan, names: list[str], place: str) -> None:
     for name in names:
         if name not in plan.zones:
-            raise ZonesError(place, f"{name!r} is not under zones")
+            raise ZonesError(place, f"zone {name!r} is not defined under 'zones'")
--- a/applevale/zones/plan_report.py
+++ b/applevale/zones/plan_report.py
@@ -1,4 +1,4 @@
-"""Reports on plans and zones files, for people to read."""
+"""Reports on plans and zones files as text."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True)
 class Overload:
-    """Work that a zones file allows beyond the headroom when one zone is lost.
+    """Spill beyond the headroom that a zones file allows if one zone is lost.
 
     Attributes:
         lost: The zone that is lost.
         target: The zone that may exceed its headroom.
-        used_share: Share of the target's capacity that may be used then.
-        headroom: Share that may be used by the plan.
+        used_share: Share of the target's capacity that may then be in use.
+        headroom: Share of the target's capacity that the plan allows to be in use.
     """
 
     lost: str
@@ -28,15 +28,15 @@
     headroom: float
 
     def __str__(self) -> str:
-        """Return the finding as one sentence."""
+        """Return the overload as one sentence."""
         return (
-            f"the loss of {self.lost} may bring {self.target} to {self.used_share:.0%}, "
-            f"over {self.headroom:.0%}"
+            f"if {self.lost} is lost, {self.target} may be used up to {self.used_share:.0%}, "
+            f"over the headroom of {self.headroom:.0%}"
         )
 
 
 def find_overloads(plan: ZonePlan, zones: ZoneSettings) -> list[Overload]:
-    """Return what a zones file allows beyond the headroom if any one zone is lost."""
+    """Return the overloads that a zones file allows if any single zone is lost."""
     overloads = []
     for lost in sorted(plan.zones):
         for limit in zones.spill_limits:
@@ -50,7 +50,7 @@
 
 
 def format_table(loss_plans: list[LossPlan]) -> str:
-    """Return the plans of all losses as a table."""
+    """Return the spill for all losses as a table."""
     lines = [TABLE_HEADER]
     for loss in loss_plans:
         lines += _format_loss(loss)
@@ -64,12 +64,12 @@
         for pair, cores in sorted(loss.flows.items())
     ]
     lines += [
-        f"{name:16} {home} -> nowhere      {cores:7.2f}   classes that stay"
+        f"{name:16} {home} -> nowhere      {cores:7.2f}   pinned classes"
         for home, cores in loss.pinned.items()
         if cores > TOLERANCE_CORES
     ]
     lines += [
-        f"{name:16} {home}: {cores:.2f} cores find no room: {'; '.join(loss.binding)}"
+        f"{name:16} {home}: {cores:.2f} cores cannot be placed: {'; '.join(loss.binding)}"
         for home, cores in loss.unplaced.items()
         if cores > TOLERANCE_CORES
     ]
--- a/applevale/zones/planner.py
+++ b/applevale/zones/planner.py
@@ -1,8 +1,8 @@
-"""Limits on spill for every loss of one zone and of two, by linear programming. No I/O and no clock.
+"""Computes spill limits for the loss of any one or two zones by linear programming. No I/O and no clock.
 
-For each loss, the movable work of the lost zones goes to the remaining ones, so that no zone exceeds its
-headroom and no pair its limit, with as little work as possible in far tiers. Work that finds no room is
-reported with the limits that bind.
+For each loss, the movable work of the lost zones is placed in the remaining zones. No zone exceeds its
+headroom, no pair of zones exceeds its limit, and work goes to tiers as near as possible. Work that cannot be
+placed is reported with the binding limits.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from .plan import ZonePair, ZonePlan
 from .settings import SpillLimit, ZonesError, ZoneSettings
 
-UNPLACED_COST = 1000.0  # of a core without room, against 1 for each tier
+UNPLACED_COST = 1000.0  # Cost of a core that cannot be placed; a placed core costs the index of its tier.
 TOLERANCE_CORES = 1e-6
-SHARE_DECIMALS = 4  # of the shares in the zones file
+SHARE_DECIMALS = 4  # Precision of the shares in the zones file.
 
 
 @dataclass(frozen=True)
 class LossPlan:
-    """The best plan for one loss; work is in cores.
+    """The optimal plan for the loss of one or more zones. Work is in cores.
 
     Attributes:
         lost: The zones that are lost.
-        flows: Work by pair of zones.
-        unplaced: Movable work that finds no room, by home zone.
-        pinned: Work that may not leave, by home zone.
-        load: Used share of the capacity of each remaining zone.
-        binding: Descriptions of the limits that bind; empty where all movable work finds room.
+        flows: Work that moves, by pair of zones.
+        unplaced: Movable work that cannot be placed, by home zone.
+        pinned: Work of pinned classes, by home zone.
+        load: Used share of the capacity, by remaining zone.
+        binding: Descriptions of the binding limits; empty if all movable work is placed.
     """
 
     lost: tuple[str, ...]
@@ -42,23 +42,33 @@
     binding: tuple[str, ...]
 
     def has_unplaced_work(self) -> bool:
-        """Return whether some movable work finds no room."""
+        """Return whether some movable work cannot be placed."""
         return sum(self.unplaced.values()) > TOLERANCE_CORES
 
 
 @dataclass(frozen=True)
 class _SpillProblem:
-    """The linear program of one loss, in flows by pair and unplaced work by lost zone."""
+    """The linear program of one loss.
+
+    Its variables are the flow of each pair, followed by the unplaced work of each lost zone.
+
+    Attributes:
+        plan: The plan file.
+        lost: The zones that are lost.
+        remaining: The zones that are left.
+        pairs: The pairs of a lost zone and a remaining zone in its tiers.
+        spare_cores: Unused cores within the headroom, by remaining zone.
+    """
 
     plan: ZonePlan
     lost: tuple[str, ...]
     remaining: list[str]
     pairs: list[ZonePair]
-    spare_cores: dict[str, float]  # under the headroom, by remaining zone
+    spare_cores: dict[str, float]
 
 
 def list_losses(plan: ZonePlan) -> list[tuple[str, ...]]:
-    """Return every loss of one zone, and of two zones where one is left."""
+    """Return every loss of one zone, and of two zones if at least one more is left."""
     names = sorted(plan.zones)
     single = [(name,) for name in names]
     double = list(combinations(names, 2)) if len(names) > 2 else []
@@ -66,7 +76,7 @@
 
 
 def solve(plan: ZonePlan, lost: tuple[str, ...]) -> LossPlan:
-    """Compute the best plan for one loss.
+    """Compute the optimal plan for one loss.
 
     Raises:
         ZonesError: The solver found no solution.
@@ -98,9 +108,9 @@
 
 
 def build_zone_settings(plan: ZonePlan, loss_plans: list[LossPlan]) -> ZoneSettings:
-    """Return the zones file that serves the loss of any one zone.
+    """Return a zones file that covers the loss of any one zone.
 
-    It does not serve the loss of two: a pair's share must never let through more than the headroom has.
+    It does not cover the loss of two: the share of a pair must never exceed the headroom of its target.
     """
     shares: dict[ZonePair, float] = {}
     for loss in loss_plans:
@@ -154,17 +164,17 @@
 
 
 def _demand_rows(problem: _SpillProblem) -> np.ndarray:
-    """Return the equations by which all movable work of a lost zone is placed or counted as unplaced."""
+    """Return the equality constraints: the movable work of each lost zone is either placed or unplaced."""
     rows = np.zeros((len(problem.lost), len(problem.pairs) + len(problem.lost)))
     for row, home in enumerate(problem.lost):
-        is_from_home = [float(pair.home == home) for pair in problem.pairs]
-        is_home = [float(other == home) for other in problem.lost]
-        rows[row] = is_from_home + is_home
+        flow_coefficients = [float(pair.home == home) for pair in problem.pairs]
+        unplaced_coefficients = [float(other == home) for other in problem.lost]
+        rows[row] = flow_coefficients + unplaced_coefficients
     return rows
 
 
 def _headroom_rows(problem: _SpillProblem) -> np.ndarray:
-    """Return the inequalities by which no remaining zone exceeds its headroom."""
+    """Return the inequality constraints: no remaining zone exceeds its headroom."""
     rows = np.zeros((len(problem.remaining), len(problem.pairs) + len(problem.lost)))
     for row, name in enumerate(problem.remaining):
         rows[row, : len(problem.pairs)] = [float(pair.target == name) for pair in problem.pairs]
@@ -174,7 +184,7 @@
 def _find_binding_limits(
     problem: _SpillProblem, flows: dict[ZonePair, float], received: dict[str, float]
 ) -> tuple[str, ...]:
-    """Return descriptions of the limits that leave no room for more work."""
+    """Return descriptions of the limits that prevent the placement of more work."""
     plan = problem.plan
     binding = [
         f"headroom of {name}"
@@ -188,6 +198,6 @@
     ]
     homes_with_target = {pair.home for pair in problem.pairs}
     binding += [
-        f"{home} has no zone left in its tiers" for home in problem.lost if home not in homes_with_target
+        f"no zone in the tiers of {home} is left" for home in problem.lost if home not in homes_with_target
     ]
     return tuple(binding)
--- a/applevale/zones/recovery.py
+++ b/applevale/zones/recovery.py
@@ -1,11 +1,11 @@
-"""The recovery of one zone: healthy, lost, on trial, ramping up. No I/O and no clock.
+"""The recovery of one zone as a state machine: healthy, lost, trial, ramping. No I/O and no clock.
 
 Invariants:
 
-- A lost zone takes no work before its cooldown is over; on trial it takes one attempt at a time; while it
-  ramps up it takes a growing share of its capacity.
-- A cooldown lasts at least `min_cooldown`, and doubles when the zone fails soon after its return. So the
-  changes of phase within a time span are bounded (`max_phase_changes`).
+- A lost zone receives no work before its cooldown is over. On trial it receives one attempt at a time. While
+  it ramps up it receives a growing share of its capacity.
+- A cooldown lasts at least `min_cooldown`, and doubles if the zone fails soon after its return. This bounds
+  the number of phase changes within a period (`max_phase_changes`).
 """
 
 from __future__ import annotations
@@ -16,12 +16,19 @@
 
 from .settings import RecoverySettings
 
-TRIAL_SUCCESSES = 3  # consecutive successes that end a trial
-PHASES_PER_RECOVERY = 4  # lost, trial, ramping, healthy
+TRIAL_SUCCESSES = 3  # Consecutive successes with which a trial ends.
+PHASES_PER_RECOVERY = 4  # Lost, trial, ramping, healthy.
 
 
 class RecoveryPhase(Enum):
-    """Phase of a zone between its loss and its full return."""
+    """Phase of a zone's recovery.
+
+    Attributes:
+        HEALTHY: The zone receives work without limits from its recovery.
+        LOST: The zone receives no work until its cooldown is over.
+        TRIAL: The zone receives one attempt at a time.
+        RAMPING: The zone receives a growing share of its capacity.
+    """
 
     HEALTHY = "healthy"
     LOST = "lost"
@@ -31,16 +38,16 @@
 
 @dataclass
 class ZoneRecovery:
-    """State machine of one zone's recovery. All times are in s.
+    """State machine of one zone's recovery. All times are in seconds.
 
     Attributes:
-        settings: Cooldowns and the ramp, from the zones file.
-        phase: The present phase.
-        phase_started_at: When the present phase began.
-        cooldown: Length of the present or the latest cooldown.
-        ramp_started_at: When the latest ramp began.
-        trial_successes: Consecutive successes in the present or the latest trial.
-        phase_changes: Number of changes of phase so far.
+        settings: Cooldowns and ramp, from the zones file.
+        phase: The current phase.
+        phase_started_at: When the current phase started.
+        cooldown: Duration of the current or latest cooldown.
+        ramp_started_at: When the latest ramp started.
+        trial_successes: Consecutive successes in the current or latest trial.
+        phase_changes: Number of phase changes so far.
     """
 
     settings: RecoverySettings
@@ -52,7 +59,7 @@
     phase_changes: int = 0
 
     def mark_lost(self, now: float) -> None:
-        """Start a cooldown: the engines of the zone fail, or none of them is ready any more."""
+        """Start a cooldown, because the engines of the zone fail or none of them is ready any more."""
         if self.phase is RecoveryPhase.LOST:
             return
         if self._is_relapse(now) and self.cooldown:
@@ -62,7 +69,7 @@
         self._enter(now, RecoveryPhase.LOST)
 
     def advance(self, now: float) -> None:
-        """Make the change of phase that is due by time."""
+        """Enter the next phase if the duration of the current one has passed."""
         elapsed = now - self.phase_started_at
         if self.phase is RecoveryPhase.LOST and elapsed >= self.cooldown:
             self.trial_successes = 0
@@ -71,7 +78,7 @@
             self._enter(now, RecoveryPhase.HEALTHY)
 
     def record_result(self, now: float, is_success: bool) -> None:
-        """Record the result of an attempt in the zone; it counts on trial only."""
+        """Record the result of an attempt in the zone; it has an effect only during a trial."""
         if self.phase is not RecoveryPhase.TRIAL:
             return
         if not is_success:
@@ -83,7 +90,10 @@
             self._enter(now, RecoveryPhase.RAMPING)
 
     def usable_share(self, now: float) -> float:
-        """Return the share of the zone's capacity that may be used; on trial 0 beyond single attempts."""
+        """Return the share of the zone's capacity that may be used.
+
+        It is 0 on trial: the single attempts of a trial do not depend on it.
+        """
         match self.phase:
             case RecoveryPhase.HEALTHY:
                 return 1.0
@@ -94,7 +104,7 @@
                 return 0.0
 
     def max_phase_changes(self, duration: float) -> float:
-        """Return the upper bound of the changes of phase within `duration` seconds."""
+        """Return an upper bound of the number of phase changes within `duration` seconds."""
         return PHASES_PER_RECOVERY * (duration / self.settings.min_cooldown + 1)
 
     def _is_relapse(self, now: float) -> bool:
--- a/applevale/zones/settings.py
+++ b/applevale/zones/settings.py
@@ -1,6 +1,6 @@
-"""The zones file: the order of zones, the limits on spill, and the recovery of a lost zone.
+"""The zones file: the preferred order of zones, the spill limits, and the recovery of a lost zone.
 
-`rename` maps the names of the fields to the keys of the file, which stay as they are.
+`rename` maps field names to the keys of the file, which are part of the stored format.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
     """A zones file or a plan cannot be used.
 
     Attributes:
-        place: The key at fault, or the file itself: `zones` or `plan`.
-        reason: What is wrong there.
+        place: The invalid key, or `zones` or `plan` for the file as a whole.
+        reason: What is wrong with it.
     """
 
     def __init__(self, place: str, reason: str):
-        """Build the error of one place in a file."""
+        """Create an error for one key of a file."""
         super().__init__(place, reason)
         self.place = place
         self.reason = reason
 
     def __str__(self) -> str:
-        """Return both in one line."""
+        """Return place and reason in one line."""
         return f"{self.place}: {self.reason}"
 
 
@@ -43,9 +43,9 @@
     """Limit on the work that one zone may send to another.
 
     Attributes:
-        home: The zone that the work comes from.
-        target: The zone that receives it.
-        share: Share of the target's capacity, for all instances of the home zone together.
+        home: The zone that sends the work.
+        target: The zone that receives the work.
+        share: Share of the target's capacity that all instances of the home zone may use together.
     """
 
     home: str
@@ -65,14 +65,14 @@
         "relapse_window": "again",
     },
 ):
-    """How a lost zone returns. All times are in s.
+    """How a lost zone returns. All times are in seconds.
 
     Attributes:
-        initial_share: Share of its capacity that may be used as the ramp begins.
-        ramp_duration: Time from the begin of the ramp to the full capacity.
-        min_cooldown: Time after a loss before the zone is tried again.
+        initial_share: Share of the zone's capacity that may be used at the start of the ramp.
+        ramp_duration: Time from the start of the ramp until the full capacity may be used.
+        min_cooldown: Time from a loss that is not a relapse until the trial.
         max_cooldown: Upper bound of the cooldown, which doubles with each relapse.
-        relapse_window: Time after the begin of a ramp within which a loss counts as a relapse.
+        relapse_window: Time after the start of a ramp in which another loss counts as a relapse.
     """
 
     initial_share: Share = 0.1
@@ -91,12 +91,13 @@
     """The zones file.
 
     Attributes:
-        tiers: For each home zone its choices in order; the first tier holds the home zone itself.
-        spill_limits: Limits by pair of zones; a pair that is absent may take nothing.
-        instances: Number of instances by home zone; 1 where absent.
-        capacity: Cores by zone; those of its ready engines where absent.
-        pinned_classes: Classes that may not leave their zone.
-        window: Time over which spill is counted, in s.
+        tiers: For each home zone, the tiers of zones that may take its work, in order of preference. The
+            first tier contains the home zone itself.
+        spill_limits: Limits for pairs of zones; a pair without one may not spill at all.
+        instances: Number of instances by home zone; 1 for a zone without an entry.
+        capacity: Number of cores by zone; for a zone without an entry, the cores of its ready engines.
+        pinned_classes: Classes whose work must stay in its home zone.
+        window: Length of the sliding window over which spill is limited, in seconds.
         recovery: How a lost zone returns.
     """
 
@@ -114,7 +115,7 @@
 
 
 def find_share(limits: Iterable[SpillLimit], home: str, target: str, default: float) -> float:
-    """Return the limited share of a pair of zones; `default` if no limit names the pair."""
+    """Return the share that the limit of a pair of zones allows; `default` if the pair has no limit."""
     for limit in limits:
         if limit.home == home and limit.target == target:
             return limit.share
@@ -137,32 +138,34 @@
     _check_zone_names(zones.capacity, zone_names, "capacity")
     for name in zones.pinned_classes:
         if name not in class_names:
-            raise ZonesError("stay", f"{name!r} is no class of the settings")
+            raise ZonesError("stay", f"the settings have no class {name!r}")
     if zones.recovery.max_cooldown < zones.recovery.min_cooldown:
-        raise ZonesError("back.rest_most", "under back.rest")
+        raise ZonesError("back.rest_most", "must not be less than back.rest")
     return zones
 
 
 def _check_tiers(tiers_by_home: dict[str, list[list[str]]], zone_names: tuple[str, ...]) -> None:
     _check_zone_names(tiers_by_home, zone_names, "tiers")
     for home, tiers in tiers_by_home.items():
-        members = [name for tier in tiers for name in tier]
-        _check_zone_names(members, zone_names, f"tiers.{home}")
-        if len(set(members)) < len(members):
-            raise ZonesError(f"tiers.{home}", "a zone stands twice")
+        tier_zones = [name for tier in tiers for name in tier]
+        _check_zone_names(tier_zones, zone_names, f"tiers.{home}")
+        if len(set(tier_zones)) < len(tier_zones):
+            raise ZonesError(f"tiers.{home}", "must not contain a zone more than once")
         if not tiers or home not in tiers[0]:
-            raise ZonesError(f"tiers.{home}", "its own zone must be in the first tier")
+            raise ZonesError(f"tiers.{home}", f"the first tier must contain {home!r} itself")
 
 
 def _check_spill_limits(limits: list[SpillLimit], zone_names: tuple[str, ...]) -> None:
     pairs = [(limit.home, limit.target) for limit in limits]
     for index, (home, target) in enumerate(pairs):
         _check_zone_names((home, target), zone_names, f"spill[{index}]")
-        if home == target or (home, target) in pairs[:index]:
-            raise ZonesError(f"spill[{index}]", f"{home} to {target} is its own zone, or stands twice")
+        if home == target:
+            raise ZonesError(f"spill[{index}]", f"'from' and 'to' must differ, but both are {home!r}")
+        if (home, target) in pairs[:index]:
+            raise ZonesError(f"spill[{index}]", f"an earlier entry also limits {home!r} to {target!r}")
 
 
-def _check_zone_names(given: Iterable[str], zone_names: tuple[str, ...], place: str) -> None:
-    for name in given:
+def _check_zone_names(names: Iterable[str], zone_names: tuple[str, ...], place: str) -> None:
+    for name in names:
         if name not in zone_names:
-            raise ZonesError(place, f"{name!r} is no zone of the settings")
+            raise ZonesError(place, f"the settings have no zone {name!r}")
--- a/applevale/zones/sliding_window.py
+++ b/applevale/zones/sliding_window.py
@@ -1,7 +1,7 @@
-"""An exact account of the work that was sent to a zone over a sliding window. No I/O and no clock.
+"""The work that was sent to a zone, summed exactly over a sliding window. No I/O and no clock.
 
-Invariant: no window of the given length holds more work than the limit that each piece was checked against.
-A piece of work larger than a whole window's limit never fits.
+Invariant: if `fits` is checked with the same limit before each `add`, no window of the given length contains
+more work than the limit. Work that alone exceeds the limit never fits.
 """
 
 from __future__ import annotations
@@ -11,7 +11,12 @@
 
 
 class WorkRecord(NamedTuple):
-    """A piece of work (core seconds) and the time when it was sent (s)."""
+    """A piece of work that was sent to a zone.
+
+    Attributes:
+        sent_at: When it was sent, in seconds.
+        work: Its amount, in core seconds.
+    """
 
     sent_at: float
     work: float
@@ -27,7 +32,7 @@
         self.total = 0.0
 
     def used(self, now: float) -> float:
-        """Return the work in the window that ends now, after dropping older records."""
+        """Return the work in the window that ends now; drops older records."""
         oldest = now - self.length
         while self.records and self.records[0].sent_at <= oldest:
             self.total -= self.records.popleft().work
@@ -36,7 +41,7 @@
         return self.total
 
     def fits(self, now: float, work: float, limit: float) -> bool:
-        """Return whether the work fits into a window that may hold `limit` core seconds."""
+        """Return whether the window would stay within `limit` core seconds with this work added."""
         return self.used(now) + work <= limit
 
     def add(self, now: float, work: float) -> None:
--- a/applevale/zones/zone_router.py
+++ b/applevale/zones/zone_router.py
@@ -2,10 +2,10 @@
 
 Invariants:
 
-- Work for another zone counts against the spill window of that zone; work for a zone that ramps up counts
-  against the zone's ramp window.
-- Work of a pinned class goes to the home zone or nowhere.
-- A lost zone takes no work; a zone on trial takes one attempt at a time.
+- Work that is sent to another zone counts against the spill window of that zone. Work that is sent to a zone
+  while it ramps up counts against the ramp window of that zone.
+- Work of a pinned class is sent to the home zone only.
+- A lost zone receives no work; a zone on trial receives one attempt at a time.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .settings import ZoneSettings
 from .sliding_window import SlidingWindow
 
-SUCCESSES = frozenset({api.Result.OK, api.Result.FULL})  # the engine answered
+SUCCESSES = frozenset({api.Result.OK, api.Result.FULL})  # The engine responded.
 FAILURES = frozenset({api.Result.CONNECT_FAILED, api.Result.RESET, api.Result.TIMEOUT})
 
 
@@ -29,11 +29,11 @@
     """One zone as seen by this instance.
 
     Attributes:
-        recovery: The phase of the zone.
-        spill_window: Work that this instance sent there from its home zone.
-        ramp_window: All work that this instance sent there while the zone ramped up.
-        health: Recent results of its engines.
-        ready_cores: Cores of its ready engines.
+        recovery: The phase of the zone's recovery.
+        spill_window: Work that this instance sent to the zone, if it is not the home zone.
+        ramp_window: Work that this instance sent to the zone while it was ramping up.
+        health: Recent results of the zone's engines.
+        ready_cores: Number of cores of the zone's ready engines.
         trial_attempts: Attempts in flight that were sent while the zone was on trial.
     """
 
@@ -46,9 +46,9 @@
 
 
 class ZoneRouter(api.Router):
-    """A router that prefers the home zone and bounds the work for the others.
+    """A router that prefers the home zone and limits the work sent to other zones.
 
-    Zones and classes are indices into the names given. Work is in core seconds, times in s.
+    Zones and classes are indices into the names given. Work is in core seconds, and times are in seconds.
     """
 
     def __init__(
@@ -59,7 +59,15 @@
         home: int,
         counters: Counter | None = None,
     ):
-        """Create the router of an instance in the zone `home`; all zones start healthy, without engines."""
+        """Create a router; all zones start healthy and without engines.
+
+        Args:
+            settings: The zones file.
+            zone_names: The names of all zones.
+            class_names: The names of all classes of requests.
+            home: The home zone of this instance.
+            counters: The counters of spilled attempts and lost zones; None for counters of its own.
+        """
         home_name = zone_names[home]
         tiers = settings.tiers.get(home_name, [[home_name]])
         self.settings = settings
@@ -77,11 +85,11 @@
         }
 
     def tier(self, request_class: int, zone: int) -> int:
-        """Return the tier of a zone, 0 for the first choice; a zone in no tier comes last."""
+        """Return the tier of a zone: 0 for the first choice; a zone in no tier is ranked last."""
         return self.tiers.get(zone, len(self.tiers))
 
     def may_take(self, now: float, request_class: int, zone: int, work: float) -> bool:
-        """Return whether a zone may take this much work of a class now."""
+        """Return whether a zone may receive this much work of a class now."""
         state = self.zones[zone]
         state.recovery.advance(now)
         phase = state.recovery.phase
@@ -96,7 +104,7 @@
         )
 
     def is_saturated(self, now: float, request_class: int, work: float) -> bool:
-        """Return whether the home zone is not healthy and no zone may take the work now."""
+        """Return whether the home zone is not healthy and no zone may receive the work now."""
         home_recovery = self.zones[self.home].recovery
         home_recovery.advance(now)
         if home_recovery.phase is RecoveryPhase.HEALTHY:
@@ -104,7 +112,7 @@
         return not any(self.may_take(now, request_class, zone, work) for zone in self.tiers)
 
     def available_rate(self, now: float, cores: float) -> float:
-        """Return the work a second (cores) that finds room for this instance; `cores` is not used."""
+        """Return the work per second, in cores, that this instance may send; `cores` is not used."""
         home_share = self.zones[self.home].recovery.usable_share(now)
         home_rate = home_share * self.capacity(self.home) / self.home_instances()
         return home_rate + sum(
@@ -114,20 +122,21 @@
         )
 
     def on_engine_list(self, now: float, engines: Iterable[tuple[api.EngineEntry, float]]) -> None:
-        """Replace the ready engines and their cores; a zone that has none left is lost."""
+        """Replace the ready engines and their cores; a zone that has no ready engines left is lost."""
         engine_ids: dict[int, set[int]] = {zone: set() for zone in self.zones}
         ready_cores = dict.fromkeys(self.zones, 0.0)
         for entry, cores in engines:
             engine_ids[entry.zone].add(entry.engine)
             ready_cores[entry.zone] += cores
         for zone, state in self.zones.items():
-            if state.ready_cores and not ready_cores[zone]:  # also after a planned drain: it returns cold
+            if state.ready_cores and not ready_cores[zone]:
+                # This includes a planned drain: the zone's engines are cold when they return.
                 self._mark_lost(now, state)
             state.ready_cores = ready_cores[zone]
             state.health.set_engines(engine_ids[zone])
 
     def on_send(self, now: float, zone: int, work: float) -> None:
-        """Count the work of an attempt that was sent to a zone."""
+        """Count the work of an attempt sent to a zone against the zone's windows."""
         state = self.zones[zone]
         if zone != self.home:
             state.spill_window.add(now, work)
@@ -138,7 +147,7 @@
             state.trial_attempts += 1
 
     def on_result(self, now: float, entry: api.EngineEntry, result: api.Result) -> None:
-        """Record the result of an attempt or a probe, and mark the zones that are lost by it."""
+        """Record the result of an attempt or a probe; a failure may mark zones as lost."""
         state = self.zones[entry.zone]
         state.trial_attempts = max(0, state.trial_attempts - 1)
         is_success = result in SUCCESSES
@@ -157,16 +166,16 @@
         return self.settings.instances.get(self.zone_names[self.home], 1)
 
     def capacity(self, zone: int) -> float:
-        """Return the cores of a zone: as configured, but no more than its ready engines have."""
+        """Return the cores of a zone: the configured number, but at most those of its ready engines."""
         ready_cores = self.zones[zone].ready_cores
         return min(self.settings.capacity.get(self.zone_names[zone], ready_cores), ready_cores)
 
     def spill_limit(self, zone: int) -> float:
-        """Return the work that this instance may send from its home zone to a zone in one window."""
+        """Return the work that this instance may send to another zone within one window."""
         return self.spill_shares[zone] * self.capacity(zone) * self.settings.window
 
     def ramp_limit(self, now: float, zone: int) -> float:
-        """Return the work that this instance may send in one window to a zone that ramps up."""
+        """Return the work that this instance may send to a zone within one window while it ramps up."""
         usable_share = self.zones[zone].recovery.usable_share(now)
         usable_work = usable_share * self.capacity(zone) * self.settings.window
         if zone == self.home:
