--- a/applevale/membership/config.py
+++ b/applevale/membership/config.py
@@ -67,8 +67,8 @@
             comparison); 0 for probes.
         min_false_suspicions: Number of unreachable members that turned out to be alive from which on this
             member may stop suspecting others.
-        monitors_itself: Whether this member suspects nobody after a pause, a loss of contact or too many false
-            suspicions of its own.
+        monitors_itself: Whether this member suspects nobody after a pause, a loss of contact, or too many
+            false suspicions of its own.
         timeouts: Timeouts and quorum of suspicions.
     """
 
