--- a/applevale/gossip/load_report_codec.py
+++ b/applevale/gossip/load_report_codec.py
@@ -124,7 +124,7 @@
     loads_start = HEADER.size + DISPATCH_ENTRY.size * dispatch_count
     if loads_start > len(data) or (len(data) - loads_start) % load_entry_size:
         raise LoadReportError(
-            f"{len(data)} bytes do not hold {dispatch_count} dispatches and entries of {load_entry_size} bytes"
+            f"{len(data)} bytes do not hold {dispatch_count} dispatches and whole load entries"
         )
     dispatches = DISPATCH_ENTRY.iter_unpack(data[HEADER.size : loads_start])
     loads = []
