--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership protocol, message by message and in simulated time."""
+"""The membership protocol: codec, token bucket, suspicions, single members and simulated fleets."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from applevale.checkers import membership as verify
+from applevale.checkers import membership as membership_checker
 from applevale.checkers.history import History
 from applevale.config.loader import parse_config
 from applevale.config.model import ConfigError
@@ -38,19 +38,19 @@
 from applevale.simulation.membership import SimulatedFleet
 from tests.planted import MEMBERS, plant_in_members
 
-numbers = st.integers(0, 65535)
+uint16s = st.integers(0, 65535)
 records = st.builds(
-    MemberRecord, st.sampled_from(MemberState), st.integers(0, messages.MAX_INCARNATION), numbers
+    MemberRecord, st.sampled_from(MemberState), st.integers(0, messages.MAX_INCARNATION), uint16s
 )
 updates = st.lists(
     st.one_of(
-        st.builds(MemberUpdate, numbers, records),
+        st.builds(MemberUpdate, uint16s, records),
         st.builds(
             SuspicionUpdate,
-            numbers,
+            uint16s,
             st.integers(0, messages.INCARNATION_LOW_MASK),
-            st.integers(0, 255).map(lambda one: one * codec.AGE_UNIT_SECONDS),
-            st.lists(numbers, max_size=messages.MAX_OBSERVERS).map(tuple),
+            st.integers(0, 255).map(lambda age_units: age_units * codec.AGE_UNIT_SECONDS),
+            st.lists(uint16s, max_size=messages.MAX_OBSERVERS).map(tuple),
         ),
     ),
     max_size=5,
@@ -67,32 +67,31 @@
             MessageKind.GOSSIP,
         ]
     ),
-    numbers,
+    uint16s,
     records,
     updates,
     st.booleans(),
 )
-def test_messages_round_trip_and_their_size_is_known(kind, number, receiver_record, piggybacked, reached):
+def test_messages_round_trip_with_the_computed_size(kind, number, receiver_record, piggybacked, is_reachable):
     has_subject = kind in (MessageKind.PING_REQUEST, MessageKind.PING_RESULT)
     message = Message(
         kind,
-        number,
-        7,
-        9,
-        receiver_record,
-        0xFFFFFFFF,
-        number if has_subject else 0,
-        has_subject and reached,
-        piggybacked,
+        sequence_number=number,
+        incarnation=7,
+        process_id=9,
+        receiver_record=receiver_record,
+        view_digest=0xFFFFFFFF,
+        subject=number if has_subject else 0,
+        is_reachable=has_subject and is_reachable,
+        updates=piggybacked,
     )
     data = codec.encode(message)
-    assert (
-        codec.decode(data) == message and len(data) == codec.encoded_size(message) <= codec.MAX_DATAGRAM_BYTES
-    )
+    assert codec.decode(data) == message
+    assert len(data) == codec.encoded_size(message) <= codec.MAX_DATAGRAM_BYTES
 
 
-def test_segments_and_their_digests_round_trip_and_a_full_segment_fits():
-    part = Message(
+def test_segments_and_digests_round_trip_and_a_full_segment_fits_into_a_datagram():
+    segment = Message(
         MessageKind.SEGMENT,
         1,
         2,
@@ -100,37 +99,39 @@
         first_member=40,
         segment_records=(MemberRecord(MemberState.DEAD, 5, 6),) * codec.MAX_SEGMENT_RECORDS,
     )
-    sums = Message(MessageKind.SEGMENT_DIGESTS, 1, 2, 3, segment_digests=tuple(range(messages.MAX_SEGMENTS)))
-    for one in (part, sums):
-        assert (
-            codec.decode(codec.encode(one)) == one
-            and codec.encoded_size(one) == len(codec.encode(one)) <= codec.MAX_DATAGRAM_BYTES
-        )
+    digests = Message(
+        MessageKind.SEGMENT_DIGESTS, 1, 2, 3, segment_digests=tuple(range(messages.MAX_SEGMENTS))
+    )
+    for message in (segment, digests):
+        data = codec.encode(message)
+        assert codec.decode(data) == message
+        assert codec.encoded_size(message) == len(data) <= codec.MAX_DATAGRAM_BYTES
 
 
 @given(st.binary(max_size=300))
 def test_invalid_datagrams_raise_malformed_datagram_error_only(data):
-    for one in (data, bytes([codec.MAGIC, 1]) + data, bytes([codec.MAGIC, 7]) + data):
+    for datagram in (data, bytes([codec.MAGIC, 1]) + data, bytes([codec.MAGIC, 7]) + data):
         with suppress(codec.MalformedDatagramError):
-            codec.decode(one)
+            codec.decode(datagram)
 
 
-def test_no_second_exceeds_rate_plus_burst():
-    bucket, sent = TokenBucket(), []
+def test_token_bucket_never_allows_more_than_rate_plus_burst_in_one_second():
+    bucket = TokenBucket()
+    sent = []
     random = Random(1)
     for step in range(4000):
         now = 1000.0 + step * 0.002
         size = random.randint(20, 256)
         if bucket.consume(now, size):
             sent.append((now, size))
-    most = max(sum(size for at, size in sent if begin <= at < begin + 1) for begin, _ in sent[::20])
-    assert 0.9 * RATE_BYTES_PER_SECOND < most <= RATE_BYTES_PER_SECOND + BURST_BYTES <= 2000
+    max_bytes = max(sum(size for at, size in sent if start <= at < start + 1) for start, _ in sent[::20])
+    assert 0.9 * RATE_BYTES_PER_SECOND < max_bytes <= RATE_BYTES_PER_SECOND + BURST_BYTES <= 2000
 
 
-def test_a_suspicion_counts_distinct_observers_and_its_timeout_shrinks_as_they_agree():
+def test_a_suspicion_counts_distinct_observers_and_its_timeout_decreases_with_their_number():
     timeouts = SuspicionTimeouts()
-    waits = [timeouts.timeout(count, 30) for count in (3, 4, 5, 9)]
-    assert waits[0] == timeouts.max_timeout > waits[1] > waits[2] == waits[3] == timeouts.min_timeout
+    seconds = [timeouts.timeout(count, 30) for count in (3, 4, 5, 9)]
+    assert seconds[0] == timeouts.max_timeout > seconds[1] > seconds[2] == seconds[3] == timeouts.min_timeout
     quorums = [(timeouts.quorum(count), timeouts.fast_quorum(count)) for count in (1, 2, 9)]
     assert quorums == [(2, 2), (2, 2), (3, 5)]
     suspicion = Suspicion(1)
@@ -138,13 +139,13 @@
     assert not suspicion.add_observers(10.1, (4,), 9.0, 3)
     assert suspicion.quorum_at == float("inf")
     assert suspicion.add_observers(10.5, (5, 6), 9.0, 3)
-    assert suspicion.started_at == 10.5 - MAX_REPORTED_AGE_SECONDS  # however old it is said to be
+    assert suspicion.started_at == 10.5 - MAX_REPORTED_AGE_SECONDS  # The reported age is 9 s.
     suspicion.restart(12.0)
     assert suspicion.started_at == 12.0
 
 
 class SingleMember:
-    """The protocol of one member of a fleet of five; its commands are recorded."""
+    """The protocol of one member, of a fleet of five by default. Its commands are recorded."""
 
     def __init__(self, member=0, count=5, **parameters):
         self.protocol = MembershipProtocol(member, count, 77, Random(1), ProtocolConfig(**parameters))
@@ -154,14 +155,16 @@
         self.record(self.protocol.start(self.now))
 
     def record(self, commands):
-        found = [one for one in commands if isinstance(one, SendMessage)]
-        self.sent += found
-        self.view_changes += [one.changes for one in commands if isinstance(one, ViewChanged)]
-        return found
+        """Record commands; return the messages among them that the member sends."""
+        sends = [command for command in commands if isinstance(command, SendMessage)]
+        self.sent += sends
+        self.view_changes += [command.changes for command in commands if isinstance(command, ViewChanged)]
+        return sends
 
     def receive(
         self, sender, kind=MessageKind.PING, incarnation=1, process_id=None, receiver_record=None, **fields
     ):
+        """Deliver a message; return the messages that the member sends in response."""
         if receiver_record is None:
             receiver_record = MemberRecord(MemberState.ALIVE, self.protocol.identity.incarnation, 77)
         fields = {"sequence_number": 1, "view_digest": self.protocol.view.table.digest} | fields
@@ -175,13 +178,14 @@
         return self.record(self.protocol.on_message(self.now, sender, message))
 
     def run_unanswered(self, duration, step=0.02):
+        """Let time pass while nobody answers the member's probes."""
         end = self.now + duration
         while self.now < end:
             self.now += step
             self.record(self.protocol.on_tick(self.now))
 
     def run_answered(self, duration, others=(1, 2, 3, 4)):
-        """Let time pass while others answer its probes."""
+        """Let time pass while the given members answer the member's probes."""
         end = self.now + duration
         while self.now < end:
             self.now += 0.02
@@ -196,11 +200,13 @@
 
 
 def joined_member(**parameters):
+    """Return member 0 after it has joined a fleet of five."""
     member = SingleMember(**parameters)
     for sender in (1, 2, 3, 4):
         member.receive(sender, MessageKind.ACK, receiver_record=messages.UNKNOWN_RECORD)
     member.run_answered(1.5)
-    assert member.protocol.status is LocalStatus.HEALTHY and member.protocol.view.alive == {1, 2, 3, 4}
+    assert member.protocol.status is LocalStatus.HEALTHY
+    assert member.protocol.view.alive == {1, 2, 3, 4}
     return member
 
 
@@ -208,75 +214,82 @@
     return (SuspicionUpdate(member, incarnation, age, observers),)
 
 
-def test_a_joining_member_takes_an_incarnation_above_all_reported_ones():
+def test_a_joining_member_takes_an_incarnation_above_all_reported_incarnations():
     member = SingleMember()
     for sender, known in ((1, 3), (2, 9), (3, 4)):
         member.receive(sender, MessageKind.ACK, receiver_record=MemberRecord(MemberState.DEAD, known, 5))
     assert member.protocol.identity.incarnation == 0
     member.run_unanswered(0.1)
-    assert member.protocol.identity.incarnation == 10 and member.protocol.status is LocalStatus.HEALTHY
+    assert member.protocol.identity.incarnation == 10
+    assert member.protocol.status is LocalStatus.HEALTHY
     assert any(
         send.message.kind is MessageKind.GOSSIP and send.message.incarnation == 10 for send in member.sent
     )
 
 
-def test_a_single_observer_declares_nobody_dead_and_is_not_relayed():
+def test_a_single_observer_does_not_cause_a_death_and_is_not_relayed():
     member = joined_member()
     for _ in range(40):
         member.receive(1, updates=suspicion_updates(2, (1,)))
         member.run_answered(0.2)
-    assert 2 in member.protocol.view.alive and member.view_changes[-1][-1].change is not MembershipChange.DIED
-    assert not any(isinstance(item, SuspicionUpdate) for send in member.sent for item in send.message.updates)
+    assert 2 in member.protocol.view.alive
+    assert member.view_changes[-1][-1].change is not MembershipChange.DIED
+    assert not any(
+        isinstance(update, SuspicionUpdate) for send in member.sent for update in send.message.updates
+    )
 
 
 def test_a_quorum_declares_two_silent_members_dead_in_one_change():
     member = joined_member()
     member.receive(1, updates=suspicion_updates(2, (1, 3, 4)) + suspicion_updates(4, (1, 3, 2)))
     member.run_answered(0.8, others=(1, 3))
-    assert {2, 4} <= member.protocol.view.alive  # however old the suspicion is said to be
+    assert {2, 4} <= member.protocol.view.alive  # Most of the reported age of 5 s does not count.
     member.run_answered(3.0, others=(1, 3))
-    died = [
+    with_deaths = [
         changes
         for changes in member.view_changes
-        if any(one.change is MembershipChange.DIED for one in changes)
+        if any(changed.change is MembershipChange.DIED for changed in changes)
     ]
-    assert (
-        len(died) == 1 and {one.member for one in died[0]} == {2, 4} and member.protocol.view.alive == {1, 3}
-    )
+    assert len(with_deaths) == 1
+    assert {changed.member for changed in with_deaths[0]} == {2, 4}
+    assert member.protocol.view.alive == {1, 3}
 
 
 def test_a_suspect_is_informed_first_and_its_higher_incarnation_ends_the_suspicion():
     member = joined_member()
     member.receive(1, updates=suspicion_updates(2, (1, 3, 4)))
-    told = [send for send in member.record(member.protocol.on_tick(member.now)) if send.target == 2]
-    assert told and told[0].message.receiver_record.state is MemberState.SUSPECT
+    to_suspect = [send for send in member.record(member.protocol.on_tick(member.now)) if send.target == 2]
+    assert to_suspect and to_suspect[0].message.receiver_record.state is MemberState.SUSPECT
     member.receive(3, updates=(MemberUpdate(2, MemberRecord(MemberState.ALIVE, 2, 2)),))
     member.run_answered(5.0, others=(1, 2, 3, 4))
-    assert 2 in member.protocol.view.alive and not member.protocol.suspicions.active
+    assert 2 in member.protocol.view.alive
+    assert not member.protocol.suspicions.active
 
 
-def test_a_member_held_suspect_dead_or_left_refutes_that_to_all():
-    for status in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
+def test_a_member_refutes_a_record_that_it_is_suspect_dead_or_left_and_informs_all():
+    for state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):
         member = joined_member()
-        former = member.protocol.identity.incarnation
-        sent = member.receive(1, receiver_record=MemberRecord(status, former, 77))
-        assert member.protocol.identity.incarnation == former + 1
+        former_incarnation = member.protocol.identity.incarnation
+        sent = member.receive(1, receiver_record=MemberRecord(state, former_incarnation, 77))
+        assert member.protocol.identity.incarnation == former_incarnation + 1
         assert {send.target for send in sent if send.message.kind is MessageKind.GOSSIP} == {1, 2, 3, 4}
 
 
-def test_a_paused_member_does_not_judge_and_restarts_its_timeouts():
+def test_after_a_pause_a_member_suspects_nobody_and_restarts_its_timeouts():
     member = joined_member()
     member.receive(1, updates=suspicion_updates(2, (1, 3, 4)))
-    former, member.now = member.protocol.identity.incarnation, member.now + 6.0
+    former_incarnation = member.protocol.identity.incarnation
+    member.now += 6.0
     member.record(member.protocol.on_tick(member.now))
     assert member.protocol.status is LocalStatus.PAUSED
     assert 2 in member.protocol.view.alive
-    assert member.protocol.identity.incarnation == former + 1
+    assert member.protocol.identity.incarnation == former_incarnation + 1
     member.run_answered(0.3)
-    assert 2 in member.protocol.view.alive and member.protocol.stats.paused == 1
+    assert 2 in member.protocol.view.alive
+    assert member.protocol.stats.paused == 1
 
 
-def test_an_isolated_member_says_so_and_declares_nobody_dead():
+def test_a_member_without_messages_becomes_isolated_and_declares_nobody_dead():
     member = joined_member()
     member.run_unanswered(6.0)
     assert member.protocol.status is LocalStatus.ISOLATED
@@ -286,110 +299,121 @@
     assert member.protocol.status is LocalStatus.HEALTHY
 
 
-def test_an_unanswered_member_says_so_and_declares_nobody_dead():
+def test_a_member_without_answers_becomes_unanswered_and_declares_nobody_dead():
     member = joined_member()
-    for _ in range(100):
-        member.receive(1 + _ % 4)
+    for number in range(100):
+        member.receive(1 + number % 4)
         member.run_unanswered(0.06)
-    assert member.protocol.status is LocalStatus.UNANSWERED and member.protocol.view.alive == {1, 2, 3, 4}
+    assert member.protocol.status is LocalStatus.UNANSWERED
+    assert member.protocol.view.alive == {1, 2, 3, 4}
 
 
-def test_a_process_is_superseded_by_a_later_one_and_returns_once_that_has_died():
+def test_a_process_is_superseded_by_a_later_one_and_resumes_after_its_death():
     member = joined_member()
     member.receive(
         1, receiver_record=MemberRecord(MemberState.ALIVE, member.protocol.identity.incarnation + 1, 78)
     )
-    assert member.protocol.status is LocalStatus.SUPERSEDED and member.protocol.next_deadline() == float(
-        "inf"
-    )
+    assert member.protocol.status is LocalStatus.SUPERSEDED
+    assert member.protocol.next_deadline() == float("inf")
     assert member.record(member.protocol.leave(member.now)) == []
     member = joined_member()
     member.receive(1, receiver_record=MemberRecord(MemberState.ALIVE, 5, 78))
     member.receive(2, receiver_record=MemberRecord(MemberState.DEAD, 5, 78))
-    assert member.protocol.status is LocalStatus.HEALTHY and member.protocol.identity.incarnation == 6
+    assert member.protocol.status is LocalStatus.HEALTHY
+    assert member.protocol.identity.incarnation == 6
 
 
-def test_a_leave_counts_from_the_member_itself_and_else_by_a_quorum_only():
+def test_a_leave_is_accepted_from_the_member_itself_but_not_from_a_single_other_member():
     member = joined_member()
     left = (MemberUpdate(2, MemberRecord(MemberState.LEFT, 1, 2)),)
     member.receive(1, updates=left)
     member.receive(1, updates=left)
     assert 2 in member.protocol.view.alive
     member.receive(2, updates=left)
-    assert 2 not in member.protocol.view.alive and [one.member for one in member.view_changes[-1]] == [2]
+    assert 2 not in member.protocol.view.alive
+    assert [changed.member for changed in member.view_changes[-1]] == [2]
 
 
 def test_an_ack_of_an_earlier_incarnation_is_ignored():
     member = joined_member()
+    pending = member.protocol.probes.pending
     member.receive(3, updates=(MemberUpdate(2, MemberRecord(MemberState.ALIVE, 4, 9)),))
-    probe = next(iter(member.protocol.probes.pending.values()), None)
+    probe = next(iter(pending.values()), None)
     while probe is None or probe.subject != 2:
         member.run_answered(0.02, others=(1, 3, 4))
-        probe = next((one for one in member.protocol.probes.pending.values() if one.subject == 2), None)
-    number = next(number for number, one in member.protocol.probes.pending.items() if one is probe)
+        probe = next((candidate for candidate in pending.values() if candidate.subject == 2), None)
+    number = next(number for number, candidate in pending.items() if candidate is probe)
     member.receive(2, MessageKind.ACK, sequence_number=number, incarnation=1)
-    assert number in member.protocol.probes.pending
+    assert number in pending
     member.receive(2, MessageKind.ACK, sequence_number=number, incarnation=4, process_id=9)
-    assert number not in member.protocol.probes.pending
+    assert number not in pending
 
 
-def test_a_flood_from_one_sender_is_counted_and_answered_within_bounds():
+def test_a_flood_from_one_sender_is_counted_and_answered_at_a_limited_rate():
     member = joined_member()
     member.run_answered(1.1)
-    before = sum(send.message.kind is MessageKind.ACK for send in member.sent)
+    acks_before = sum(send.message.kind is MessageKind.ACK for send in member.sent)
     for _ in range(2000):
         member.receive(1)
-    assert sum(send.message.kind is MessageKind.ACK for send in member.sent) - before <= 40
+    assert sum(send.message.kind is MessageKind.ACK for send in member.sent) - acks_before <= 40
     assert member.protocol.stats.floods > 1000
 
 
-def test_differing_views_are_synced_by_their_segments():
-    one, other = joined_member(), joined_member()
-    other.protocol.store.apply(2, MemberRecord(MemberState.ALIVE, 7, 2), broadcast=False)
-    other.now = one.now = max(one.now, other.now) + 1.0
-    for member in (one, other):
-        member.protocol.health.last_event_at = one.now
-        member.protocol.health.expected_at = one.now
-    sums = [
-        send for send in one.receive(1, view_digest=1) if send.message.kind is MessageKind.SEGMENT_DIGESTS
-    ]
-    parts = [
+def test_members_with_different_views_sync_the_segments_that_differ():
+    outdated = joined_member()
+    updated = joined_member()
+    updated.protocol.store.apply(2, MemberRecord(MemberState.ALIVE, 7, 2), broadcast=False)
+    updated.now = outdated.now = max(outdated.now, updated.now) + 1.0
+    for member in (outdated, updated):
+        member.protocol.health.last_event_at = outdated.now
+        member.protocol.health.expected_at = outdated.now
+    digests = [
         send
-        for send in other.receive(
-            1, MessageKind.SEGMENT_DIGESTS, segment_digests=sums[0].message.segment_digests
+        for send in outdated.receive(1, view_digest=1)
+        if send.message.kind is MessageKind.SEGMENT_DIGESTS
+    ]
+    segments = [
+        send.message
+        for send in updated.receive(
+            1, MessageKind.SEGMENT_DIGESTS, segment_digests=digests[0].message.segment_digests
         )
         if send.message.kind is MessageKind.SEGMENT
     ]
-    assert parts
-    for part in parts:
-        one.receive(
+    assert segments
+    for segment in segments:
+        outdated.receive(
             1,
             MessageKind.SEGMENT,
-            first_member=part.message.first_member,
-            segment_records=part.message.segment_records,
+            first_member=segment.first_member,
+            segment_records=segment.segment_records,
         )
-    assert one.protocol.view.table.records[2].incarnation == 7
+    assert outdated.protocol.view.table.records[2].incarnation == 7
 
 
-def test_shares_grow_after_a_delay_and_never_beyond_twice_the_configured_one():
-    shares = EffectiveFleetSize(10)
-    assert shares.update(0.0, 10, True) == 10
-    assert shares.update(1.0, 7, True) == 10 and shares.next_deadline == 1.0 + SHRINK_DELAY_SECONDS
-    assert shares.update(3.0, 6, True) == 10  # it shrank further: the time begins anew
-    assert shares.update(3.0 + SHRINK_DELAY_SECONDS, 6, True) == 6
-    assert shares.update(7.0, 9, True) == 9  # who came back counts at once
-    assert shares.update(8.0, 4, True) == 10 and shares.update(20.0, 4, True) == 10  # under half: cut off
-    assert shares.update(21.0, 9, False) == 10
+def test_the_fleet_size_shrinks_after_a_delay_and_not_below_half_of_the_configured_size():
+    fleet_size = EffectiveFleetSize(10)
+    assert fleet_size.update(0.0, 10, True) == 10
+    assert fleet_size.update(1.0, 7, True) == 10
+    assert fleet_size.next_deadline == 1.0 + SHRINK_DELAY_SECONDS
+    assert fleet_size.update(3.0, 6, True) == 10  # The view shrank further, so the delay restarts.
+    assert fleet_size.update(3.0 + SHRINK_DELAY_SECONDS, 6, True) == 6
+    assert fleet_size.update(7.0, 9, True) == 9  # Members that return count at once.
+    assert (
+        fleet_size.update(8.0, 4, True) == 10
+    )  # Less than half: this may be the smaller side of a partition.
+    assert fleet_size.update(20.0, 4, True) == 10
+    assert fleet_size.update(21.0, 9, False) == 10
 
 
-CASES = ["killed", "quarter-2", "loss-20", "pair", "mute", "again", "toggles", "stalls"]
+SCENARIOS = ["killed", "quarter-2", "loss-20", "pair", "mute", "again", "toggles", "stalls"]
 
 
-@pytest.mark.parametrize("name", CASES)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_a_simulated_fleet_keeps_its_guarantees(name):
-    found = verify.figures(History(SimulatedFleet(12, 1).run(name)))
-    assert verify.broken(found, {}) == [] and found["datagram_max"] <= codec.MAX_DATAGRAM_BYTES
-    assert found["killed"] == (name == "killed")
+    figures = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
+    assert membership_checker.broken(figures, {}) == []
+    assert figures["datagram_max"] <= codec.MAX_DATAGRAM_BYTES
+    assert figures["killed"] == (name == "killed")
 
 
 def test_the_same_seed_gives_the_same_history():
@@ -400,7 +424,8 @@
     )
 
 
-CAUGHT = [
+# A fault planted in the protocol, the scenario that exposes it, and the figure that shows it.
+DETECTED_FAULTS = [
     ("one_word", "loss-20", "false_dead"),
     ("no_look", "waves", "false_dead"),
     ("reset", "back", "wrong_views"),
@@ -409,20 +434,21 @@
 ]
 
 
-@pytest.mark.parametrize("fault,name,figure", CAUGHT, ids=[one[0] for one in CAUGHT])
-def test_a_planted_fault_is_caught_in_the_simulation(monkeypatch, fault, name, figure):
+@pytest.mark.parametrize("fault,name,figure", DETECTED_FAULTS, ids=[case[0] for case in DETECTED_FAULTS])
+def test_the_simulation_detects_a_planted_fault(monkeypatch, fault, name, figure):
     with monkeypatch.context() as patch:
         plant_in_members(fault, patch.setattr)
-        found = verify.figures(History(SimulatedFleet(12, 1).run(name)))
-    assert found[figure] > 0
-    sound = verify.figures(History(SimulatedFleet(12, 1).run(name)))
-    assert sound[figure] == 0
+        figures = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
+    assert figures[figure] > 0
+    figures_without_fault = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
+    assert figures_without_fault[figure] == 0
 
 
-def test_a_member_that_forges_suspicions_kills_nobody():
+def test_a_member_that_forges_suspicions_causes_no_death():
     liar = type("Liar", (MembershipProtocol,), MEMBERS["liar"][MembershipProtocol])
-    found = verify.figures(History(SimulatedFleet(12, 1, liar=liar).run("calm")))
-    assert found["false_dead"] == 0 and found["wrong_views"] == 0
+    figures = membership_checker.figures(History(SimulatedFleet(12, 1, liar=liar).run("calm")))
+    assert figures["false_dead"] == 0
+    assert figures["wrong_views"] == 0
 
 
 @pytest.mark.parametrize(
@@ -436,7 +462,7 @@
         ({"settings": {"me": 3}}, "settings.me: 3 is none of the 3 peers"),
     ],
 )
-def test_a_bad_membership_section_is_one_line_that_names_its_key(change, text):
+def test_the_error_for_an_invalid_membership_section_names_the_key(change, text):
     raw = json.loads((Path(__file__).parent.parent / "deploy" / "members.json").read_text())
     assert parse_config(raw, {}).membership == 0.1
     settings = raw["settings"] | change.pop("settings", {})
@@ -444,41 +470,46 @@
         parse_config(raw | change | {"settings": settings}, {})
 
 
-def test_datagrams_of_strangers_and_invalid_ones_cost_a_counter_only():
-    def free():
+def test_datagrams_from_unknown_senders_and_malformed_ones_are_only_counted():
+    def free_address():
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind(("127.0.0.1", 0))
             return sock.getsockname()
 
     async def main():
-        here, peer = free(), free()
-        counters, sizes = Counters(), []
-        datagrams = DatagramSocket(PeerAddresses(here, (here, peer), None), 0, counters, shared=True)
+        local_address = free_address()
+        peer_address = free_address()
+        counters = Counters()
+        sizes = []
+        addresses = PeerAddresses(local_address, (local_address, peer_address), None)
+        datagrams = DatagramSocket(addresses, 0, counters, shared=True)
         protocol = MembershipProtocol(0, 2, 7, Random(1))
-        part = MembershipRunner(protocol, EffectiveFleetSize(2), datagrams, counters, sizes.append)
-        datagrams.start(), part.start()
-        good = Message(MessageKind.PING, 1, 4, 9, view_digest=0)
+        runner = MembershipRunner(protocol, EffectiveFleetSize(2), datagrams, counters, sizes.append)
+        datagrams.start()
+        runner.start()
+        valid = codec.encode(Message(MessageKind.PING, 1, 4, 9, view_digest=0))
         with (
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one,
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown,
         ):
-            one.bind(peer)
-            stranger.bind(("127.0.0.1", 0))
+            peer.bind(peer_address)
+            unknown.bind(("127.0.0.1", 0))
             for sock, data in (
-                (stranger, codec.encode(good)),
-                (one, b""),
-                (one, b"\x01x"),
-                (one, bytes([codec.MAGIC])),
-                (one, codec.encode(good)[:-1]),
-                (one, codec.encode(good) + b"\xff\xff"),
-                (one, codec.encode(good) + b"x" * 250),
-                (one, codec.encode(good)),
+                (unknown, valid),
+                (peer, b""),
+                (peer, b"\x01x"),
+                (peer, bytes([codec.MAGIC])),
+                (peer, valid[:-1]),
+                (peer, valid + b"\xff\xff"),
+                (peer, valid + b"x" * 250),
+                (peer, valid),
             ):
-                sock.sendto(data, here)
+                sock.sendto(data, local_address)
             async with asyncio.timeout(10):
                 while not protocol.stats.heard:
                     await asyncio.sleep(0)
-        part.stop(), datagrams.stop()
+        runner.stop()
+        datagrams.stop()
         return counters["news_unreadable"], protocol.stats.heard, protocol.view.alive
 
     assert asyncio.run(main()) == (7, 1, {1})
