--- a/tests/test_members_fleet.py
+++ b/tests/test_members_fleet.py
@@ -1,10 +1,10 @@
-"""Membership on a few real processes: guarantees are kept, and each planted fault is caught."""
+"""Membership on a fleet of real processes: it keeps its guarantees, and planted faults are detected."""
 
 import asyncio
 
 import pytest
 
-from applevale.checkers import membership as verify
+from applevale.checkers import membership as membership_checker
 from applevale.checkers.history import History
 from applevale.fault_injection.link_conditions import LinkCondition
 from applevale.fault_injection.schedule import (
@@ -17,13 +17,13 @@
 from applevale.harness.fleet import Fleet
 from applevale.harness.fleet_plan import FleetPlan
 
-# Never beside another fleet on the same machine.
+# Tests with a fleet must not run in parallel on one machine.
 pytestmark = pytest.mark.xdist_group("fleet")
 CUT = LinkCondition(cut=True)
 
 
 def run_scenario(script, **plan):
-    """Run a script on a fleet whose members all know each other; return its figures and its history."""
+    """Run a script on a fleet whose members have all joined; return its figures and its history."""
 
     async def run():
         fleet = Fleet(FleetPlan(**({"nodes": 6, "engines": 4, "clients": 2.0, "members": True} | plan)))
@@ -49,28 +49,30 @@
         finally:
             await fleet.stop()
         history = fleet.history()
-        return verify.figures(history) | dict(fleet.violations()), history
+        return membership_checker.figures(history) | dict(fleet.violations()), history
 
     return asyncio.run(run())
 
 
-def died(fleet, name):
-    """Count the instances that last reported the member as dead or left."""
-    last = {}
+def count_removals(fleet, name):
+    """Return the number of instances whose latest report of the member is that it died or left."""
+    latest_changes = {}
     for event in fleet.events:
         if event["event"] == "view":
-            last.update((event["who"], change) for who, change in event["changes"] if who == name)
-    return sum(change in ("died", "left") for change in last.values())
+            latest_changes.update((event["who"], change) for who, change in event["changes"] if who == name)
+    return sum(change in ("died", "left") for change in latest_changes.values())
 
 
 async def many_faults(fleet):
-    """A kill, a pause, an orderly end, an upgrade and a quick restart."""
-    others = len(fleet.instances) - 1
+    """A kill, a pause, an orderly restart, an upgrade, and a kill with a quick restart."""
+    other_count = len(fleet.instances) - 1
     await fleet.play([KillProcess(at=0, processes=["n1"])])
-    assert await fleet.until(lambda: died(fleet, "n1") == others, 20)
+    assert await fleet.until(lambda: count_removals(fleet, "n1") == other_count, 20)
     await fleet.play([PauseProcess(at=0, processes=["n2"], duration=1.5)])
     await fleet.play([TerminateProcess(at=0, processes=["n3"], restart_after=0.1)])
-    assert await fleet.until(lambda: fleet.instances[3].member_status == "well" and not died(fleet, "n3"), 20)
+    assert await fleet.until(
+        lambda: fleet.instances[3].member_status == "well" and not count_removals(fleet, "n3"), 20
+    )
     await fleet.play(
         [
             UpgradeProcess(at=0, processes=["n4"], overlap=2.0),
@@ -86,16 +88,19 @@
     await asyncio.sleep(3.0)
 
 
-def test_six_instances_agree_on_who_is_alive_through_many_faults():
+def test_six_instances_agree_on_the_members_alive_through_many_faults():
     figures, history = run_scenario(many_faults)
-    assert verify.broken(figures, {}) == []
-    assert figures["killed"] == 1 and figures["lost_requests"] == 0 and figures["served"] > 10
+    assert membership_checker.broken(figures, {}) == []
+    assert figures["killed"] == 1
+    assert figures["lost_requests"] == 0
+    assert figures["served"] > 10
     statuses = {event["stand"] for event in history.select("stand")}
-    assert {"joining", "well", "paused", "alone", "gone"} <= statuses  # alone: the older of two processes
+    # During the upgrade the older of the two processes is "alone".
+    assert {"joining", "well", "paused", "alone", "gone"} <= statuses
     assert any(change == "restarted" for event in history.select("view") for _, change in event["changes"])
 
 
-async def loss(fleet):
+async def packet_loss(fleet):
     await fleet.play(
         [
             ApplyLinkCondition(
@@ -107,7 +112,7 @@
 
 
 async def waves(fleet):
-    """The second that is paused holds suspicions of the first, and misses that it is back."""
+    """Two overlapping pauses: the second process suspects the first, and misses the end of its pause."""
     await fleet.play(
         [
             PauseProcess(at=0, processes=["n1"], duration=6.0),
@@ -118,9 +123,9 @@
 
 
 async def back(fleet):
-    others = len(fleet.instances) - 1
+    other_count = len(fleet.instances) - 1
     await fleet.play([KillProcess(at=0, processes=["n1"])])
-    await fleet.until(lambda: died(fleet, "n1") == others, 10)
+    await fleet.until(lambda: count_removals(fleet, "n1") == other_count, 10)
     await fleet.launch(fleet.instances[1])
     assert await fleet.until(lambda: fleet.instances[1].member_status == "well", 20)
     await asyncio.sleep(4.0)
@@ -147,8 +152,9 @@
     await asyncio.sleep(6.0)
 
 
-CAUGHT = [
-    ("one_word", loss, "false_dead"),
+# A fault planted in the protocol, the scenario that exposes it, and the figure that shows it.
+DETECTED_FAULTS = [
+    ("one_word", packet_loss, "false_dead"),
     ("no_look", waves, "false_dead"),
     ("reset", back, "wrong_views"),
     ("no_help", killed, "missed"),
@@ -156,37 +162,40 @@
 ]
 
 
-@pytest.mark.parametrize("fault,script,figure", CAUGHT, ids=[case[0] for case in CAUGHT])
-def test_a_planted_fault_shows_in_the_history(fault, script, figure):
+@pytest.mark.parametrize("fault,script,figure", DETECTED_FAULTS, ids=[case[0] for case in DETECTED_FAULTS])
+def test_a_planted_fault_is_detected_in_the_history(fault, script, figure):
     figures, _ = run_scenario(script, clients=0.0, entry=("tests.planted", fault))
     assert figures[figure] > 0
 
 
 @pytest.mark.parametrize("script", [waves, halves], ids=["waves", "halves"])
-def test_the_program_keeps_its_guarantees_where_planted_faults_are_caught(script):
+def test_without_a_planted_fault_the_same_scenarios_keep_all_guarantees(script):
     figures, _ = run_scenario(script, clients=0.0)
-    assert verify.broken(figures, {}) == []
+    assert membership_checker.broken(figures, {}) == []
 
 
-def test_one_instance_that_calls_all_others_dead_harms_no_one():
+def test_an_instance_that_declares_all_others_dead_does_not_change_their_views():
     figures, history = run_scenario(calm, clients=0.0, entry=("tests.planted", "liar"), entry_of="n0")
-    assert verify.broken(figures, {}) == []
+    assert membership_checker.broken(figures, {}) == []
     assert sum(1 for _ in history.select("view", since=history.mark_time("joined"))) == 0
 
 
-def test_the_checker_tells_false_deaths_from_true_ones():
+def test_the_checker_distinguishes_false_deaths_from_true_ones():
     def view(at, change, name="n1"):
         return {"at": at, "event": "view", "who": "n0", "changes": [[name, change]]}
 
-    start = [{"at": 0.0, "event": "launched", "who": f"n{number}", "how": "start"} for number in range(3)]
-    end = {"at": 10.0, "event": "ended", "who": "n1", "how": "kill"}
-    last = {"at": 20.0, "event": "held", "who": "n0", "view": ["n0", "n2"]}
-    assert verify.figures(History([*start, end, view(12.0, "died"), last]))["false_dead"] == 0
-    assert verify.figures(History([*start, end, view(9.0, "died"), last]))["false_dead"] == 1
-    assert verify.figures(History([*start, end, last]))["missed"] == 2  # neither of two others knew
-    still = {"at": 5.0, "event": "fault", "do": "stop", "who": ["n1"], "span": 3.0}
-    assert verify.figures(History([*start, still, view(7.5, "died"), last]))["false_dead"] == 0
-    assert verify.figures(History([*start, still, view(9.5, "died"), last]))["false_dead"] == 1
+    def figures_of(*events):
+        return membership_checker.figures(History([*launched, *events]))
+
+    launched = [{"at": 0.0, "event": "launched", "who": f"n{number}", "how": "start"} for number in range(3)]
+    killed = {"at": 10.0, "event": "ended", "who": "n1", "how": "kill"}
+    final_view = {"at": 20.0, "event": "held", "who": "n0", "view": ["n0", "n2"]}
+    assert figures_of(killed, view(12.0, "died"), final_view)["false_dead"] == 0
+    assert figures_of(killed, view(9.0, "died"), final_view)["false_dead"] == 1
+    assert figures_of(killed, final_view)["missed"] == 2  # Neither of the two others reported the death.
+    paused = {"at": 5.0, "event": "fault", "do": "stop", "who": ["n1"], "span": 3.0}
+    assert figures_of(paused, view(7.5, "died"), final_view)["false_dead"] == 0
+    assert figures_of(paused, view(9.5, "died"), final_view)["false_dead"] == 1
     cut = {
         "at": 5.0,
         "event": "fault",
@@ -196,11 +205,12 @@
         "fate": {"cut": True},
         "span": 4.0,
     }
-    assert verify.figures(History([*start, cut, view(8.0, "died"), last]))["false_dead"] == 0
-    assert verify.figures(History([*start, last]))["wrong_views"] == 1
+    assert figures_of(cut, view(8.0, "died"), final_view)["false_dead"] == 0
+    assert figures_of(final_view)["wrong_views"] == 1
     sent = [
         {"at": 1 + tenth / 10, "event": "sent", "who": "n0", "bytes": 300, "most": 257, "count": 2}
         for tenth in range(10)
     ]
-    figures = verify.figures(History([*start, *sent, last | {"view": ["n0", "n1", "n2"]}]))
-    assert figures["bytes_s_max"] == 3000 and len(verify.broken(figures, {})) == 2
+    figures = figures_of(*sent, final_view | {"view": ["n0", "n1", "n2"]})
+    assert figures["bytes_s_max"] == 3000
+    assert len(membership_checker.broken(figures, {})) == 2
