--- a/applevale/membership/anti_entropy.py
+++ b/applevale/membership/anti_entropy.py
@@ -11,7 +11,7 @@
 from .sender import MessageSender
 from .updates import UpdateHandler
 
-MAX_UPDATES = (MAX_DATAGRAM_BYTES - HEADER.size) // MEMBER_UPDATE.size
+MAX_UPDATES_PER_REPLY = (MAX_DATAGRAM_BYTES - HEADER.size) // MEMBER_UPDATE.size
 
 
 class AntiEntropy:
@@ -62,4 +62,4 @@
             elif known.is_known and known.precedence > record.precedence:
                 newer.append(MemberUpdate(member, known))
         if newer:
-            self._sender.send_gossip(now, sender, tuple(newer[:MAX_UPDATES]), HELP_RESERVE_BYTES)
+            self._sender.send_gossip(now, sender, tuple(newer[:MAX_UPDATES_PER_REPLY]), HELP_RESERVE_BYTES)
--- a/applevale/membership/failure_detector.py
+++ b/applevale/membership/failure_detector.py
@@ -124,7 +124,7 @@
         for target in self._random.sample(others, min(JOIN_FANOUT, len(others))):
             self._sender.send_ping(now, target, self._probes.next_sequence_number())
         if self._health.status is not LocalStatus.JOINING:
-            # Less often than a joining member: members that start announce themselves.
+            # A joining member pings more often. This one can wait, as members that start announce themselves.
             self._probes.next_probe_at = now + ALONE_PROBE_INTERVAL_SECONDS
 
     def _next_subject(self) -> int:
--- a/applevale/membership/join_prober.py
+++ b/applevale/membership/join_prober.py
@@ -42,7 +42,10 @@
         self._sender.send_ping(now, target, self._probes.next_sequence_number())
 
     def _interval(self) -> float:
-        """Return a random number of seconds until the next ping; all members together ping at `join_rate`."""
+        """Return the seconds until the next ping, with random jitter.
+
+        All members together ping each dead member at `join_rate`, as far as `max_join_rate` allows.
+        """
         alive_count = len(self._view.alive)
         dead_count = self._view.member_count - 1 - alive_count
         rate = min(self._config.max_join_rate, self._config.join_rate * dead_count / (1 + alive_count))
--- a/applevale/membership/local_health.py
+++ b/applevale/membership/local_health.py
@@ -8,6 +8,9 @@
 from .config import FALSE_SUSPICION_WINDOW_SECONDS, MAX_LOCAL_HEALTH_SCORE
 from .context import ProtocolContext
 
+SCORE_DECREASE = 0.5  # For each answered probe.
+SCORE_INCREASE = 1.0  # For each sign that this member itself is slow.
+
 
 class LocalHealth:
     """The status of this member, and the evidence for it. All times are in seconds.
@@ -74,11 +77,11 @@
 
     def improve(self) -> None:
         """Lower the score: a probe was answered."""
-        self.score = max(0.0, self.score - 0.5)
+        self.score = max(0.0, self.score - SCORE_DECREASE)
 
     def worsen(self) -> None:
         """Raise the score: there is evidence that this member itself is slow."""
-        self.score = min(MAX_LOCAL_HEALTH_SCORE, self.score + 1)
+        self.score = min(MAX_LOCAL_HEALTH_SCORE, self.score + SCORE_INCREASE)
 
     def record_event(self, now: float) -> float:
         """Record that an event is being handled; return its delay in seconds."""
@@ -93,7 +96,7 @@
         self._unreachable[member] = now
 
     def is_unreachable(self, member: int) -> bool:
-        """Return whether a recent probe of a member failed, and no message from it has arrived since."""
+        """Return whether a probe of a member failed lately, and no message from it has arrived since."""
         return member in self._unreachable
 
     def record_false_suspicion(self, now: float, member: int) -> None:
--- a/applevale/membership/protocol.py
+++ b/applevale/membership/protocol.py
@@ -201,7 +201,11 @@
                 self.anti_entropy.on_segment(now, sender, message)
 
     def _finish(self, now: float) -> list[Command]:
-        """Add the announcement of changes if it is due, and return all commands of this event."""
+        """Finish an event: announce changes that are due, note when the next event is expected.
+
+        Returns:
+            All commands that result from the event.
+        """
         announcement = self.view.take_announcement(now)
         if announcement is not None:
             self.commands.add(announcement)
