--- a/applevale/membership/parts.py
+++ b/applevale/membership/components.py
@@ -1,4 +1,4 @@
-"""The parts of the membership protocol that its detectors share, and their construction."""
+"""The components that the detectors of the membership protocol share, and their construction."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 @dataclass(frozen=True)
-class SharedParts:
-    """The state and the sender of one protocol instance.
+class SharedComponents:
+    """The shared state and the message sender of one protocol instance.
 
     Attributes:
-        suspicions: Suspicions and claims of all members.
-        broadcasts: Updates that are still to be transmitted.
+        suspicions: Suspicions against members, and claims that members died or left.
+        broadcasts: Updates that are still to be disseminated.
         store: Applies records to the view, the suspicions and the broadcasts.
-        sender: Sends messages within the bounds on bytes.
-        health: Whether this member may judge others.
+        sender: Sends messages within the limit on bytes.
+        health: The status of this member, which decides whether it may suspect others.
         probes: Probes that wait for an answer.
-        local: The own record.
+        local: The record of this member.
     """
 
     suspicions: SuspicionTable
@@ -37,8 +37,8 @@
     local: LocalMember
 
 
-def create_shared_parts(context: ProtocolContext, rate_limiter: SenderRateLimiter) -> SharedParts:
-    """Return the parts of a joining member that knows nobody."""
+def create_shared_components(context: ProtocolContext, rate_limiter: SenderRateLimiter) -> SharedComponents:
+    """Create the components of a joining member that knows no other member yet."""
     suspicions = SuspicionTable(context.config, context.view)
     broadcasts = BroadcastQueue(context.config, context.view, suspicions)
     store = MemberStore(context.view, suspicions, broadcasts)
@@ -46,4 +46,4 @@
     health = LocalHealth(context)
     probes = ProbeTable(context, sender, health)
     local = LocalMember(context, store, sender, health, probes)
-    return SharedParts(suspicions, broadcasts, store, sender, health, probes, local)
+    return SharedComponents(suspicions, broadcasts, store, sender, health, probes, local)
--- a/applevale/membership/protocol.py
+++ b/applevale/membership/protocol.py
@@ -1,18 +1,18 @@
-"""The membership protocol of one member: messages and times in, commands out. No I/O, no clock.
-
-The runner calls `start` once, `on_message` for each message with the number of its sender and `on_tick` at
-`next_deadline` or soon after, and carries out the commands that each returns. Invariants:
-
-- A member is declared dead only by enough distinct observers at its present incarnation (suspicion.py), or by
-  as many distinct members that hold it dead; never by one.
-- A member that was paused, receives no messages or no answers does not judge others, and its timeouts for
-  them start anew once that is over.
-- A member that finds most of those it could not reach to be alive doubts itself in the same way.
-- A member that is held suspect, dead or left while it is alive refutes that with a higher incarnation. An
-  earlier process never does so against a later one that is alive.
-- The bytes sent keep to the token bucket: answers and probes go before gossip. State is bounded by the number
-  of members, answers to one sender by `MAX_ANSWERS_PER_SECOND`.
-- The wall clock plays no part, and nothing outlasts the process.
+"""The membership protocol of one member as a state machine. No I/O, no clock.
+
+The runner calls `start` once, `on_message` for each message with the number of its sender, and `on_tick` at
+`next_deadline` or soon after. It carries out the commands that each call returns. Invariants:
+
+- A member is declared dead only by a quorum of distinct observers at its current incarnation
+  (`suspicion.py`), or by as many distinct members that have declared it dead; never by a single one.
+- A member that was paused, or that receives no messages or no answers, does not suspect others. Its timeouts
+  for suspicions restart once it has recovered.
+- A member also suspects nobody while many of those that it could not reach prove to be alive.
+- A member that is alive refutes records that it is suspect, dead or left by a higher incarnation. An earlier
+  process never refutes a later one that is alive.
+- A token bucket limits the bytes sent; answers and probes take precedence over gossip. State is bounded by
+  the number of members, and answers to one sender by `MAX_ANSWERS_PER_SECOND`.
+- The protocol does not depend on the wall clock, and stores nothing beyond the life of the process.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 from .anti_entropy import AntiEntropy
 from .commands import Command, CommandQueue, LocalStatus, StatusChanged
+from .components import create_shared_components
 from .config import ProtocolConfig
 from .context import LocalIdentity, ProtocolContext
 from .failure_detector import FailureDetector
 from .heartbeat import HeartbeatDetector
 from .join_prober import JoinProber
 from .messages import MemberUpdate, Message, MessageKind
-from .parts import create_shared_parts
 from .rate_limiter import SenderRateLimiter
 from .self_monitor import SelfMonitor
-from .stats import Stats
+from .stats import MembershipStats
 from .suspicion_monitor import SuspicionMonitor
 from .suspicion_verifier import SuspicionVerifier
 from .updates import UpdateHandler
@@ -39,7 +39,7 @@
 
 
 class MembershipProtocol:
-    """The entry points of the protocol, and the wiring of its parts."""
+    """The entry points of the protocol; constructs and connects its components."""
 
     def __init__(
         self,
@@ -53,34 +53,34 @@
 
         Args:
             member: The number of this member.
-            member_count: Members in the configuration.
-            process_id: A number of 16 bits, drawn anew at each start of the process.
+            member_count: Number of members in the configuration.
+            process_id: A random number of 16 bits, drawn at each start of the process.
             random: The source of all random draws.
-            config: Parameters; None: the defaults.
+            config: Parameters of the protocol; None for the defaults.
         """
         self.config = config or ProtocolConfig()
         self.identity = LocalIdentity(member, process_id)
         self.view = MembershipView(member, member_count)
-        self.stats = Stats()
+        self.stats = MembershipStats()
         self.commands = CommandQueue()
         context = ProtocolContext(self.config, self.identity, self.view, random, self.stats, self.commands)
         self._random = random
         self.rate_limiter = SenderRateLimiter(self.stats)
-        parts = create_shared_parts(context, self.rate_limiter)
-        self.suspicions = parts.suspicions
-        self.store = parts.store
-        self.sender = parts.sender
-        self.health = parts.health
-        self.probes = parts.probes
-        self.local = parts.local
-        self.self_monitor = SelfMonitor(context, parts)
-        self.join_prober = JoinProber(context, parts)
-        self.updates = UpdateHandler(context, parts, self.join_prober)
-        verifier = SuspicionVerifier(context, parts)
-        self.suspicion_monitor = SuspicionMonitor(context, parts, self.updates, verifier)
-        self.failure_detector = FailureDetector(context, parts, self.suspicion_monitor)
-        self.heartbeats = HeartbeatDetector(context, parts, self.updates)
-        self.anti_entropy = AntiEntropy(context, parts.sender, self.updates)
+        components = create_shared_components(context, self.rate_limiter)
+        self.suspicions = components.suspicions
+        self.store = components.store
+        self.sender = components.sender
+        self.health = components.health
+        self.probes = components.probes
+        self.local = components.local
+        self.self_monitor = SelfMonitor(context, components)
+        self.join_prober = JoinProber(context, components)
+        self.updates = UpdateHandler(context, components, self.join_prober)
+        verifier = SuspicionVerifier(context, components)
+        self.suspicion_monitor = SuspicionMonitor(context, components, self.updates, verifier)
+        self.failure_detector = FailureDetector(context, components, self.suspicion_monitor)
+        self.heartbeats = HeartbeatDetector(context, components, self.updates)
+        self.anti_entropy = AntiEntropy(context, components.sender, self.updates)
 
     @property
     def status(self) -> LocalStatus:
@@ -89,7 +89,7 @@
 
     @property
     def is_view_reliable(self) -> bool:
-        """Whether others may act on the view."""
+        """Whether the view is good enough to act on, for example to divide shared limits."""
         return self.health.is_view_reliable
 
     def start(self, now: float) -> list[Command]:
@@ -100,13 +100,18 @@
         return self._finish(now)
 
     def start_joined(self, now: float, process_ids: list[int]) -> list[Command]:
-        """Start as one of a fleet whose members know each other already, by these process ids."""
+        """Start in a fleet whose members all know each other already.
+
+        Args:
+            now: The time, in seconds.
+            process_ids: The process id of each member, in the order of their numbers.
+        """
         self._start_clocks(now)
         self.local.start_joined(process_ids)
         return self._finish(now)
 
     def on_tick(self, now: float) -> list[Command]:
-        """Do what is due."""
+        """Handle all deadlines that have passed."""
         self.self_monitor.check_for_pause(now)
         if self.health.has_ended:
             return self._finish(now)
@@ -125,10 +130,13 @@
         return self._finish(now)
 
     def on_message(self, now: float, sender: int, message: Message) -> list[Command]:
-        """Handle a message; one of a stranger, of a flood or after the leave is ignored."""
+        """Handle a message.
+
+        It is ignored if its sender is unknown or exceeds its rate limit, or if this member has left.
+        """
         self.self_monitor.check_for_pause(now)
-        is_stranger = sender == self.identity.member or not self.view.contains(sender)
-        if is_stranger or self.status is LocalStatus.LEFT:
+        is_unknown_sender = sender == self.identity.member or not self.view.contains(sender)
+        if is_unknown_sender or self.status is LocalStatus.LEFT:
             return self._finish(now)
         if not self.rate_limiter.accept_message(now, sender):
             return self._finish(now)
@@ -138,18 +146,18 @@
         self.health.last_received_at = now
         self._apply_records(now, sender, message)
         self._dispatch(now, sender, message)
-        is_compared = message.kind in (MessageKind.PING, MessageKind.ACK)
-        if is_compared and message.view_digest != self.view.table.digest:
+        is_ping_or_ack = message.kind in (MessageKind.PING, MessageKind.ACK)
+        if is_ping_or_ack and message.view_digest != self.view.table.digest:
             self.anti_entropy.request_sync(now, sender)
         return self._finish(now)
 
     def leave(self, now: float) -> list[Command]:
-        """End cleanly: inform others."""
+        """Leave the fleet and inform others."""
         self.local.leave(now)
         return self._finish(now)
 
     def next_deadline(self) -> float:
-        """Return when `on_tick` has to be called, in seconds; infinite once this member has ended."""
+        """Return when to call `on_tick` next, in seconds; infinite once this process no longer takes part."""
         if self.health.has_ended:
             return inf
         return min(
@@ -162,7 +170,7 @@
         )
 
     def _start_clocks(self, now: float) -> None:
-        self.health.reset_clocks(now)
+        self.health.reset_times(now)
         self.probes.next_probe_at = now + self._random.random() * self.config.probe_interval
 
     def _apply_records(self, now: float, sender: int, message: Message) -> None:
@@ -193,7 +201,11 @@
                 self.anti_entropy.on_segment(now, sender, message)
 
     def _finish(self, now: float) -> list[Command]:
-        """Add the announcement that is due, set the next deadline, and return all commands."""
+        """Finish an event: announce changes that are due, note when the next event is expected.
+
+        Returns:
+            All commands that result from the event.
+        """
         announcement = self.view.take_announcement(now)
         if announcement is not None:
             self.commands.add(announcement)
--- a/applevale/membership/self_monitor.py
+++ b/applevale/membership/self_monitor.py
@@ -3,25 +3,25 @@
 from __future__ import annotations
 
 from .commands import LocalStatus
+from .components import SharedComponents
 from .context import ProtocolContext
-from .parts import SharedParts
 
 
 class SelfMonitor:
-    """Guards all judgement against a process that stood still."""
+    """Detects pauses of this process, so that it does not blame others for the messages that it missed."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts):
-        """Create a monitor of these parts."""
+    def __init__(self, context: ProtocolContext, components: SharedComponents):
+        """Create a monitor of the given components."""
         self._config = context.config
         self._identity = context.identity
         self._stats = context.stats
-        self._health = parts.health
-        self._probes = parts.probes
-        self._suspicions = parts.suspicions
-        self._local = parts.local
+        self._health = components.health
+        self._probes = components.probes
+        self._suspicions = components.suspicions
+        self._local = components.local
 
     def check_for_pause(self, now: float) -> None:
-        """Handle a late event; call it first at each event, whichever it is."""
+        """React if the current event is late. It must be called first for each event of any kind."""
         delay = self._health.record_event(now)
         if not self._config.monitors_itself or delay <= self._config.delay_threshold:
             return
@@ -35,10 +35,13 @@
             self.recover(now)
 
     def recover(self, now: float) -> None:
-        """Start all judgement anew: messages were missed, and others may suspect this member."""
+        """Restart probes, timeouts and contact times after messages were missed.
+
+        Others may suspect this member by now, so it raises its incarnation.
+        """
         self._probes.clear()
         self._health.start_quiet_period(now)
-        self._health.reset_contact(now)
+        self._health.reset_contact_times(now)
         self._suspicions.restart_all(now)
         if self._health.status is LocalStatus.ISOLATED:
             self._health.set_status(LocalStatus.HEALTHY)
--- a/applevale/membership/suspicion_monitor.py
+++ b/applevale/membership/suspicion_monitor.py
@@ -1,20 +1,21 @@
-"""Suspicions: how they are raised, and end in a death."""
+"""Raises suspicions against members, relays them, and declares members dead."""
 
 from __future__ import annotations
 
 from math import inf
 
+from .components import SharedComponents
 from .config import HELP_RESERVE_BYTES
 from .context import ProtocolContext
 from .messages import INCARNATION_LOW_MASK, MemberRecord, MemberState, MemberUpdate, SuspicionUpdate
-from .parts import SharedParts
 from .suspicion import Suspicion
 from .suspicion_verifier import SuspicionVerifier
 from .updates import UpdateHandler
 
 
-def _is_same_incarnation(one: int, other: int) -> bool:
-    return one & INCARNATION_LOW_MASK == other & INCARNATION_LOW_MASK
+def _have_same_low_bits(first: int, second: int) -> bool:
+    """Return whether two incarnations agree in the bits that a suspicion update carries."""
+    return first & INCARNATION_LOW_MASK == second & INCARNATION_LOW_MASK
 
 
 class SuspicionMonitor:
@@ -23,42 +24,45 @@
     def __init__(
         self,
         context: ProtocolContext,
-        parts: SharedParts,
+        components: SharedComponents,
         updates: UpdateHandler,
         verifier: SuspicionVerifier,
     ):
-        """Create a monitor of the suspicions in a table."""
+        """Create a monitor of the suspicions in the given components."""
         self._config = context.config
         self._identity = context.identity
         self._view = context.view
-        self._suspicions = parts.suspicions
-        self._broadcasts = parts.broadcasts
-        self._sender = parts.sender
-        self._health = parts.health
-        self._local = parts.local
+        self._suspicions = components.suspicions
+        self._broadcasts = components.broadcasts
+        self._sender = components.sender
+        self._health = components.health
+        self._local = components.local
         self._updates = updates
         self._verifier = verifier
-        self._batch_started_at = inf  # when the first death of the present batch was due
+        self._batch_started_at = inf  # When the first death of the current batch was due.
 
     def on_update(self, now: float, sender: int, update: SuspicionUpdate) -> None:
-        """Handle the observers against a member that `sender` relays."""
+        """Handle a suspicion that `sender` relays."""
         member = update.member
         if not all(map(self._view.contains, (member, *update.observers))):
             return
         known = self._view.table.records[member]
         is_outdated = known.incarnation & INCARNATION_LOW_MASK != update.incarnation
         if known.is_known and (is_outdated or known.state is MemberState.LEFT):
-            # The sender may be behind.
+            # The sender may have an outdated record.
             self._sender.send_gossip(now, sender, (MemberUpdate(member, known),), HELP_RESERVE_BYTES)
             return
         quorum = self._suspicions.quorum(member)
         excluded = (member, self._identity.member)
-        observers = tuple(dict.fromkeys(one for one in update.observers if one not in excluded))
+        observers = tuple(
+            dict.fromkeys(observer for observer in update.observers if observer not in excluded)
+        )
         if member == self._identity.member:
             self._on_own_suspicion(now, update, len(observers) >= quorum)
             return
         if len(observers) < min(self._config.min_relayed_observers, quorum):
-            observers = tuple(one for one in observers if one == sender)  # too few are not relayed
+            # So few observers are not to be relayed: only the sender's own observation counts.
+            observers = tuple(observer for observer in observers if observer == sender)
         age = update.age if len(observers) >= quorum else 0.0
         self.suspect(now, member, update.incarnation, observers, age)
 
@@ -69,13 +73,13 @@
 
         Args:
             now: The time, in seconds.
-            member: The member that they could not reach.
-            incarnation: Its incarnation, or the lowest bits of it.
-            observers: The observers.
-            age: Seconds since there was a quorum, where that is reported.
+            member: The suspect.
+            incarnation: The suspect's incarnation, or only its low bits.
+            observers: Members that could not reach the suspect.
+            age: Reported seconds since there was a quorum; 0 without such a report.
         """
         known = self._view.table.records[member]
-        if not observers or not known.is_alive or not _is_same_incarnation(incarnation, known.incarnation):
+        if not observers or not known.is_alive or not _have_same_low_bits(incarnation, known.incarnation):
             return
         suspicion = self._suspicions.active.get(member)
         if suspicion is None:
@@ -93,20 +97,21 @@
         self._suspicions.reschedule()
 
     def remove_expired(self, now: float) -> None:
-        """Declare members dead whose timeout is over.
+        """Declare suspects dead whose timeout has passed.
 
-        Deaths due within a short time are one change of the view: the first waits a little for the next.
+        A death waits briefly for others that are due soon, so that they make one change of the view.
         """
         suspicions = self._suspicions
         if now < suspicions.next_deadline:
             return
         window = self._config.batch_window
-        if not self._health.may_judge(now):
+        if not self._health.may_suspect_others(now):
             suspicions.next_deadline = now + window
             return
         self._verifier.verify_suspects(now)
         expiries = {
-            one: suspicions.expires_at(one, suspicion) for one, suspicion in suspicions.active.items()
+            member: suspicions.expires_at(member, suspicion)
+            for member, suspicion in suspicions.active.items()
         }
         expired = [member for member, expires_at in expiries.items() if expires_at <= now]
         upcoming = [expires_at for expires_at in expiries.values() if now < expires_at <= now + window]
@@ -116,7 +121,7 @@
             return
         self._batch_started_at = inf
         if expired:
-            self._updates.remove_members(now, tuple(self._death_of(member) for member in expired))
+            self._updates.remove_members(now, tuple(self._death_update(member) for member in expired))
         suspicions.reschedule()
 
     def _on_own_suspicion(self, now: float, update: SuspicionUpdate, has_quorum: bool) -> None:
@@ -125,13 +130,13 @@
             self._local.on_own_record(now, identity.record(MemberState.SUSPECT))
 
     def _relay(self, member: int, suspicion: Suspicion, former_count: int) -> None:
-        """Disseminate a suspicion with a new observer, where that makes a difference to others."""
+        """Disseminate a suspicion with a new observer if others may lack it for a quorum or fast quorum."""
         quorum = self._suspicions.quorum(member)
         fast_quorum = self._config.timeouts.fast_quorum(self._view.eligible_observers(member))
         count = len(suspicion.observers)
-        is_decisive = former_count < quorum or suspicion.relayed_count < fast_quorum <= count
+        is_decisive = former_count < quorum or suspicion.relayed_observer_count < fast_quorum <= count
         if is_decisive and count >= min(self._config.min_relayed_observers, quorum):
-            suspicion.relayed_count = count
+            suspicion.relayed_observer_count = count
             self._broadcasts.add_suspicion(member)
 
     def _wait_for_batch(self, now: float, upcoming: list[float]) -> None:
@@ -142,7 +147,7 @@
         else:
             suspicions.next_deadline = min(suspicions.next_deadline, *upcoming)
 
-    def _death_of(self, member: int) -> MemberUpdate:
+    def _death_update(self, member: int) -> MemberUpdate:
         incarnation = self._suspicions.active[member].incarnation
         process_id = self._view.table.records[member].process_id
         return MemberUpdate(member, MemberRecord(MemberState.DEAD, incarnation, process_id))
--- a/applevale/membership/updates.py
+++ b/applevale/membership/updates.py
@@ -1,30 +1,30 @@
-"""Changes of other members' records."""
+"""Handles the records of other members that messages carry."""
 
 from __future__ import annotations
 
 from .commands import MembershipChange
+from .components import SharedComponents
 from .context import ProtocolContext
 from .join_prober import JoinProber
 from .messages import MemberRecord, MemberState, MemberUpdate, Message
-from .parts import SharedParts
 
 
 class UpdateHandler:
-    """Decides which records of others are taken into the view."""
+    """Decides which records of other members are applied to the view."""
 
-    def __init__(self, context: ProtocolContext, parts: SharedParts, join_prober: JoinProber):
-        """Create a handler that writes to these parts."""
+    def __init__(self, context: ProtocolContext, components: SharedComponents, join_prober: JoinProber):
+        """Create a handler that writes to the given components."""
         self._config = context.config
         self._view = context.view
         self._stats = context.stats
-        self._store = parts.store
-        self._suspicions = parts.suspicions
-        self._health = parts.health
-        self._local = parts.local
+        self._store = components.store
+        self._suspicions = components.suspicions
+        self._health = components.health
+        self._local = components.local
         self._join_prober = join_prober
 
     def on_sender_alive(self, now: float, sender: int, message: Message) -> None:
-        """Take from a message that its sender is alive at its incarnation; 0: the sender is joining."""
+        """Record that the sender of a message is alive; ignored while the sender is joining."""
         if not message.incarnation:
             return
         known_incarnation = self._view.table.records[sender].incarnation
@@ -35,7 +35,10 @@
         self.on_record(now, sender, sender, record)
 
     def on_record(self, now: float, sender: int, member: int, record: MemberRecord) -> None:
-        """Handle a record of any member that `sender` holds."""
+        """Handle a record of any member that `sender` reports.
+
+        A death, and a leave that another member reports, is applied only once a quorum reports it.
+        """
         if not self._view.contains(member) or not record.is_known:
             return
         if member == self._view.local_member:
@@ -50,11 +53,11 @@
             self.remove_members(now, (MemberUpdate(member, record),))
         elif record.state in (MemberState.DEAD, MemberState.LEFT):
             is_confirmed = self._suspicions.add_claim(member, record, sender)
-            if is_confirmed and self._health.may_judge(now):
+            if is_confirmed and self._health.may_suspect_others(now):
                 self.remove_members(now, (MemberUpdate(member, record),))
 
     def remove_members(self, now: float, removals: tuple[MemberUpdate, ...]) -> None:
-        """Take members as dead or left, and announce that at once."""
+        """Mark members as dead or left, and announce that at once."""
         for removal in removals:
             has_left = removal.record.state is MemberState.LEFT
             if self._view.table.records[removal.member].is_alive:
