--- a/applevale/config/sections.py
+++ b/applevale/config/sections.py
@@ -13,13 +13,13 @@
 from ..discovery.endpoints import AttributeNames
 from ..engines.limits import ConnectionLimits
 from ..net.addresses import Address, PeerAddresses
-from ..simulator_wire.units import NANOSECONDS
+from ..simulator_wire.units import NANOSECONDS_PER_SECOND
 from .model import ConfigError
 from .values import read_address, read_number, read_section, reject_unknown_keys
 
 DEFAULT_MAX_ATTEMPTS = 32  # on one connection to an engine
-DEFAULT_IDLE_TIMEOUT_NS = 15 * NANOSECONDS
-DEFAULT_CONNECT_TIMEOUT_NS = 0.25 * NANOSECONDS
+DEFAULT_IDLE_TIMEOUT_NS = 15 * NANOSECONDS_PER_SECOND
+DEFAULT_CONNECT_TIMEOUT_NS = 0.25 * NANOSECONDS_PER_SECOND
 MIN_ENGINE_CONNECTS = 0.1  # a second
 MIN_MEMBERS = 2
 MAX_MEMBERS = 65535
@@ -49,8 +49,9 @@
     prices = read_section(raw_settings, "prices")
     return ConnectionLimits(
         max_attempts=int(read_number(limits, "streams_per_conn", DEFAULT_MAX_ATTEMPTS, 1)),
-        idle_timeout=read_number(limits, "conn_idle", DEFAULT_IDLE_TIMEOUT_NS, 1) / NANOSECONDS,
-        connect_timeout=read_number(limits, "dial_timeout", DEFAULT_CONNECT_TIMEOUT_NS, 1) / NANOSECONDS,
+        idle_timeout=read_number(limits, "conn_idle", DEFAULT_IDLE_TIMEOUT_NS, 1) / NANOSECONDS_PER_SECOND,
+        connect_timeout=read_number(limits, "dial_timeout", DEFAULT_CONNECT_TIMEOUT_NS, 1)
+        / NANOSECONDS_PER_SECOND,
         handshake_price=read_number(prices, "handshake", 0.0, 0.0),
         probe_price=settings.probe_price,
         drain_grace=settings.drain_grace,
--- a/applevale/harness/default_settings.py
+++ b/applevale/harness/default_settings.py
@@ -1,6 +1,6 @@
 """The settings that all harnesses give to the processes they start."""
 
-from ..simulator_wire.units import NANOSECONDS
+from ..simulator_wire.units import NANOSECONDS_PER_SECOND
 
 ZONES = ["east", "west"]
 MACHINE_KINDS = ["std"]
@@ -16,17 +16,17 @@
     "classes": [
         {
             "name": "lookup",
-            "aim": NANOSECONDS,
+            "aim": NANOSECONDS_PER_SECOND,
             "aim_stretch": 2.0,
-            "deadline": 5 * NANOSECONDS,
+            "deadline": 5 * NANOSECONDS_PER_SECOND,
             "repeat": "safe",
             "worth": 1.0,
         },
         {
             "name": "load",
-            "aim": 3 * NANOSECONDS,
+            "aim": 3 * NANOSECONDS_PER_SECOND,
             "aim_stretch": 3.0,
-            "deadline": 10 * NANOSECONDS,
+            "deadline": 10 * NANOSECONDS_PER_SECOND,
             "repeat": "unsafe",
             "by_arrival": True,
             "worth": 6.0,
@@ -34,21 +34,21 @@
     ],
     "guarantees": {
         "answer_slack": 20_000_000,
-        "drain_grace": NANOSECONDS // 2,
+        "drain_grace": NANOSECONDS_PER_SECOND // 2,
         "cold_share": 0.33,
-        "warm_up": 15 * NANOSECONDS,
-        "fall": 3 * NANOSECONDS // 2,
+        "warm_up": 15 * NANOSECONDS_PER_SECOND,
+        "fall": 3 * NANOSECONDS_PER_SECOND // 2,
         "fall_multiple": 4.0,
     },
     "limits": {
         "cancel": True,
         "may_probe": True,
         "retry_after": True,
-        "max_retry_after": NANOSECONDS // 2,
+        "max_retry_after": NANOSECONDS_PER_SECOND // 2,
         "try_limit": 5,
         "streams_per_conn": 32,
-        "conn_idle": 15 * NANOSECONDS,
-        "dial_timeout": NANOSECONDS // 4,
+        "conn_idle": 15 * NANOSECONDS_PER_SECOND,
+        "dial_timeout": NANOSECONDS_PER_SECOND // 4,
         "max_open": 20_000,
     },
     "specifics": {
--- a/applevale/simulator_wire/__init__.py
+++ b/applevale/simulator_wire/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that hosts decision modules on a simulator's wire, and that wire's codec."""
+"""The adapter between decision modules and a simulator, and the codec of their binary protocol."""
--- a/applevale/simulator_wire/adapter.py
+++ b/applevale/simulator_wire/adapter.py
@@ -1,6 +1,8 @@
-"""Hosts many instances of the decision module, which share nothing, on the simulator's wire.
+"""Connects instances of the decision module, which share no state, to a simulator.
 
-It decides nothing. `python -m applevale.simulator_wire.adapter` serves standard input until it ends.
+The adapter passes events and actions on and makes no decisions itself. The command
+`python -m applevale.simulator_wire.adapter` reads batches from standard input and writes replies to standard
+output until the input ends.
 """
 
 from __future__ import annotations
@@ -14,40 +16,44 @@
 from ..policy import AdmissionController
 from . import decoder, encoder, layout
 from .settings import read_settings
-from .units import NANOSECONDS
+from .units import NANOSECONDS_PER_SECOND
 
 EXIT_MALFORMED_INPUT = 2
 
 
 class Adapter:
-    """The instances of one process, by their numbers."""
+    """Runs the instances of one process.
+
+    Attributes:
+        controllers: The decision module of each running instance, by instance number.
+    """
 
     def __init__(self) -> None:
-        """Start without any instance."""
+        """Create an adapter without instances."""
         self.decoder = decoder.Decoder()
         self.controllers: dict[int, AdmissionController] = {}
 
-    def answer(self, clock_ns: int, count: int, body: bytes) -> bytes:
-        """Return the reply to a batch. An instance's events go to it together, in their order.
+    def handle_batch(self, clock_ns: int, count: int, body: bytes) -> bytes:
+        """Pass each instance its events of a batch, together and in order, and return the reply.
 
         Raises:
-            WireError: A record cannot be read.
+            WireError: A record is malformed.
         """
-        waiting: dict[int, list[api.Event]] = {}
-        for instance, event in self.decoder.batch(count, body):
+        pending_events: dict[int, list[api.Event]] = {}
+        for instance, event in self.decoder.decode_batch(count, body):
             if isinstance(event, decoder.Boot):
-                waiting.pop(instance, None)  # what came before its start is not for it
+                pending_events.pop(instance, None)  # events before the start are dropped
                 settings = read_settings(event.settings)
                 self.controllers[instance] = AdmissionController(settings, event.seed)
-                waiting[instance] = []
+                pending_events[instance] = []
             elif isinstance(event, decoder.Shutdown):
-                waiting.pop(instance, None)
+                pending_events.pop(instance, None)
                 self.controllers.pop(instance, None)
             else:
-                waiting.setdefault(instance, []).append(event)
+                pending_events.setdefault(instance, []).append(event)
         records: list[bytes] = []
-        for instance, events in waiting.items():
-            records += self._handle(instance, clock_ns / NANOSECONDS, events)
+        for instance, events in pending_events.items():
+            records += self._handle(instance, clock_ns / NANOSECONDS_PER_SECOND, events)
         return encoder.encode_reply(records)
 
     def _handle(self, instance: int, now: float, events: list[api.Event]) -> list[bytes]:
@@ -59,9 +65,9 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer each batch of `source` on `sink` until the input ends; return the exit code."""
+    """Write a reply to `sink` for each batch of `source` until the input ends; return the exit code."""
     adapter = Adapter()
-    position = 0
+    batch_offset = 0
     gc.freeze()
     while True:
         head = source.read(layout.BATCH_HEAD.size)
@@ -69,17 +75,17 @@
             return 0
         try:
             if len(head) != layout.BATCH_HEAD.size:
-                wanted = layout.BATCH_HEAD.size
-                raise layout.WireError(f"header: {wanted} bytes expected, {len(head)} came")
+                expected = layout.BATCH_HEAD.size
+                raise layout.WireError(f"header: {expected} bytes expected, {len(head)} received")
             size, clock_ns, count = layout.BATCH_HEAD.unpack(head)
-            reply = adapter.answer(clock_ns, count, _read_body(source, size))
+            reply = adapter.handle_batch(clock_ns, count, _read_body(source, size))
         except layout.WireError as error:
-            print(f"applevale: malformed input in the batch at byte {position}: {error}", file=sys.stderr)
+            print(f"applevale: malformed input in the batch at byte {batch_offset}: {error}", file=sys.stderr)
             return EXIT_MALFORMED_INPUT
-        except Exception as error:  # reported on the wire, which ends the run
+        except Exception as error:  # the simulator ends the run at the reported exception
             traceback.print_exc(file=sys.stderr)
             reply = encoder.encode_reply([encoder.encode_exception(f"{type(error).__name__}: {error}")])
-        position += layout.BATCH_HEAD.size + size
+        batch_offset += layout.BATCH_HEAD.size + size
         sink.write(reply)
         sink.flush()
 
@@ -87,7 +93,7 @@
 def _read_body(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) != size:
-        raise layout.WireError(f"body: {size} bytes expected, {len(data)} came before the end of input")
+        raise layout.WireError(f"body: {size} bytes expected, {len(data)} received before the end of input")
     return data
 
 
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -1,4 +1,4 @@
-"""Decoder of the simulator's wire: batches of records to events. It decides nothing."""
+"""Decodes batches of records of the simulator's wire protocol to events."""
 
 from __future__ import annotations
 
@@ -9,7 +9,6 @@
 
 from .. import api
 from .layout import (
-    ENGINE_ID,
     HAS_WORK_ESTIMATE,
     INSTANCE_ID,
     IS_CLIENT_RETRY,
@@ -23,220 +22,245 @@
     NOTE,
     NOTE_KINDS,
     OUTCOME,
+    PEER_ID,
+    PEER_MESSAGE_SIZE,
     PROBE_RESULT,
     RECORD_HEAD,
     REQUEST,
     REQUEST_ID,
     RESULTS,
+    SEED,
+    SETTINGS_SIZE,
     STARTED,
     STATES,
+    TIMER_TOKEN,
     WHOLE_LIST_KINDS,
     WORK_SHIFT,
     EventCode,
     WireError,
 )
-from .units import NANOSECONDS
+from .units import NANOSECONDS_PER_SECOND
+
+NOT_REPORTED = -1.0  # stands for a figure that an engine did not report
 
 
 @dataclass(frozen=True)
 class Boot:
-    """An instance starts, with these settings."""
+    """An instance starts.
+
+    Attributes:
+        seed: The seed of its random draws.
+        settings: Its settings as path=value lines.
+    """
 
     seed: int
-    settings: str  # path=value lines
+    settings: str
 
 
 @dataclass(frozen=True)
 class Shutdown:
-    """An instance ends."""
+    """An instance shuts down."""
 
 
 InstanceEvent = api.Event | Boot | Shutdown
 
 
 class Decoder:
-    """Decodes batches; keeps the numbered pages of the engine list, which travel once for each process."""
+    """Decodes batches of records.
+
+    Pages of the engine list are sent to a process once and referred to by number from then on.
+
+    Attributes:
+        pages: The entries of each page received so far, by page number.
+    """
 
     def __init__(self) -> None:
-        """Start without any page."""
+        """Create a decoder that has received no page."""
         self.pages: dict[int, tuple[api.EngineEntry, ...]] = {}
 
-    def batch(self, count: int, body: bytes) -> Iterator[tuple[int, InstanceEvent]]:
+    def decode_batch(self, count: int, body: bytes) -> Iterator[tuple[int, InstanceEvent]]:
         """Yield the events of `count` records, each with the number of its instance.
 
         Raises:
-            WireError: A record cannot be read, or bytes are left over.
+            WireError: A record is malformed, or bytes follow the last one.
         """
         view = memoryview(body)
         position = 0
         instance: int | None = None
         for index in range(count):
-            code, part = _next_record(view, position, index)
+            code, fields = _read_record(view, position, index)
             try:
                 if code == EventCode.INSTANCE:
-                    (instance,) = INSTANCE_ID.unpack_from(part)
+                    (instance,) = INSTANCE_ID.unpack_from(fields)
                 elif code == EventCode.LIST_PAGE:
-                    self._register_page(part)
-                elif (event := self._event(code, part)) is not None:
+                    self._store_page(fields)
+                elif (event := self._decode_event(code, fields)) is not None:
                     if instance is None:
-                        raise WireError("no instance named before it")
+                        raise WireError("no record before it names an instance")
                     yield instance, event
             except (struct.error, WireError, KeyError, UnicodeDecodeError) as error:
                 place = f"record {index} (code {code}) at byte {position}"
                 raise WireError(f"{place}: {error}") from None
-            position += RECORD_HEAD.size + len(part)
+            position += RECORD_HEAD.size + len(fields)
         if position != len(view):
-            raise WireError(f"{len(view) - position} bytes left over after {count} records")
+            raise WireError(f"{len(view) - position} unexpected bytes after {count} records")
 
-    def _register_page(self, part: memoryview) -> None:
-        page, count = LIST_PAGE_HEAD.unpack_from(part)
-        if LIST_PAGE_HEAD.size + count * LIST_ENTRY.size > len(part):
-            raise WireError(f"a list of {count} entries is cut off")
+    def _store_page(self, fields: memoryview) -> None:
+        page, count = LIST_PAGE_HEAD.unpack_from(fields)
+        if LIST_PAGE_HEAD.size + count * LIST_ENTRY.size > len(fields):
+            raise WireError(f"list page {page}: truncated, {count} entries expected")
         offsets = (LIST_PAGE_HEAD.size + index * LIST_ENTRY.size for index in range(count))
-        self.pages[page] = tuple(_list_entry(part, offset) for offset in offsets)
+        self.pages[page] = tuple(_decode_list_entry(fields, offset) for offset in offsets)
 
-    def _event(self, code: int, part: memoryview) -> InstanceEvent | None:
-        """Return the event of a record; None for a code that means nothing here."""
+    def _decode_event(self, code: int, fields: memoryview) -> InstanceEvent | None:
+        """Return the event of a record, or None for one with an unknown code or kind."""
         if code == EventCode.LIST_CHANGE:
-            return self._list_change(part)
+            return self._decode_list_change(fields)
         decode = _DECODERS.get(code)
-        return None if decode is None else decode(part)
+        return None if decode is None else decode(fields)
 
-    def _list_change(self, part: memoryview) -> api.EngineList:
-        kind, _revision, page = LIST_CHANGE.unpack_from(part)
+    def _decode_list_change(self, fields: memoryview) -> api.EngineList:
+        kind, _revision, page = LIST_CHANGE.unpack_from(fields)
         if kind == LIST_CALL_FAILED:
             return api.EngineList(failed=True)
         if page not in self.pages:
-            raise WireError(f"list page {page} was never registered")
+            raise WireError(f"list page {page} was not sent before")
         return api.EngineList(self.pages[page], whole=kind in WHOLE_LIST_KINDS)
 
 
-def _next_record(view: memoryview, position: int, index: int) -> tuple[int, memoryview]:
+def _read_record(view: memoryview, position: int, index: int) -> tuple[int, memoryview]:
     """Return the code and the fields of the record at `position`."""
     start = position + RECORD_HEAD.size
     if start > len(view):
-        raise WireError(f"record {index} at byte {position}: its head is cut off")
+        raise WireError(f"record {index} at byte {position}: truncated header")
     code, size = RECORD_HEAD.unpack_from(view, position)
     left = len(view) - start
     if size > left:
-        raise WireError(f"record {index} (code {code}) at byte {position}: {size} bytes told, {left} left")
+        raise WireError(
+            f"record {index} (code {code}) at byte {position}: {size} bytes declared, {left} left"
+        )
     return code, view[start : start + size]
 
 
-def _number(value: float) -> float:
+def _non_negative(value: float) -> float:
+    """Return the value, or 0 for one that is negative, infinite or NaN."""
     return value if isfinite(value) and value >= 0 else 0.0
 
 
-def _floats(part: memoryview, offset: int) -> tuple[float, ...]:
-    """Return a list of floats behind a byte with their number; -1 for what is not told."""
-    if offset >= len(part):
+def _decode_report(fields: memoryview, offset: int) -> tuple[float, ...]:
+    """Return the figures of an engine's load report: a byte with their number, then as many floats."""
+    if offset >= len(fields):
         return ()
-    count = part[offset]
-    values = struct.unpack_from(f"<{count}f", part, offset + 1)
-    return tuple(value if isfinite(value) and value >= 0 else -1.0 for value in values)
+    count = fields[offset]
+    values = struct.unpack_from(f"<{count}f", fields, offset + 1)
+    return tuple(value if isfinite(value) and value >= 0 else NOT_REPORTED for value in values)
 
 
-def _blob(part: memoryview, offset: int, size_format: str) -> bytes:
-    """Return the bytes behind their number."""
-    (size,) = struct.unpack_from(size_format, part, offset)
-    start = offset + struct.calcsize(size_format)
-    if start + size > len(part):
-        raise WireError(f"a field of {size} bytes runs past its record")
-    return bytes(part[start : start + size])
+def _decode_bytes(fields: memoryview, offset: int, size_field: struct.Struct) -> bytes:
+    """Return the bytes that follow a field with their number."""
+    (size,) = size_field.unpack_from(fields, offset)
+    start = offset + size_field.size
+    if start + size > len(fields):
+        raise WireError(f"a field of {size} bytes exceeds the end of its record")
+    return bytes(fields[start : start + size])
 
 
-def _list_entry(part: memoryview, offset: int) -> api.EngineEntry:
-    zone, started_ns, state, cell, size, kind, engine = LIST_ENTRY.unpack_from(part, offset)
+def _decode_list_entry(fields: memoryview, offset: int) -> api.EngineEntry:
+    zone, started_ns, state, cell, size, kind, engine = LIST_ENTRY.unpack_from(fields, offset)
     return api.EngineEntry(
         engine=engine,
         zone=zone,
         kind=kind,
         cell=cell,
-        size=_number(size),
+        size=_non_negative(size),
         state=STATES.get(state, api.State.DRAINING),
-        started=started_ns / NANOSECONDS,
+        started=started_ns / NANOSECONDS_PER_SECOND,
     )
 
 
-def _boot(part: memoryview) -> Boot:
-    (seed,) = REQUEST_ID.unpack_from(part)
-    return Boot(seed, _blob(part, REQUEST_ID.size, "<I").decode())
+def _decode_boot(fields: memoryview) -> Boot:
+    (seed,) = SEED.unpack_from(fields)
+    return Boot(seed, _decode_bytes(fields, SEED.size, SETTINGS_SIZE).decode())
 
 
-def _shutdown(part: memoryview) -> Shutdown:
+def _decode_shutdown(fields: memoryview) -> Shutdown:
     return Shutdown()
 
 
-def _request(part: memoryview) -> api.Request:
-    request, cls, tenant, key, ttl_ns, work_ns, memory_mb, tables, options = REQUEST.unpack_from(part)
+def _decode_request(fields: memoryview) -> api.Request:
+    request, cls, tenant, key, ttl_ns, work_ns, memory_mb, tables, options = REQUEST.unpack_from(fields)
     return api.Request(
         request=request,
         cls=cls,
         tenant=tenant,
         key=key,
-        ttl=ttl_ns / NANOSECONDS,
-        work=work_ns / NANOSECONDS if options & HAS_WORK_ESTIMATE else 0.0,
-        memory_mb=_number(memory_mb),
+        ttl=ttl_ns / NANOSECONDS_PER_SECOND,
+        work=work_ns / NANOSECONDS_PER_SECOND if options & HAS_WORK_ESTIMATE else 0.0,
+        memory_mb=_non_negative(memory_mb),
         tables=tables if isfinite(tables) else 0.0,
         client_retry=bool(options & IS_CLIENT_RETRY),
     )
 
 
-def _outcome(part: memoryview) -> api.Outcome:
-    request, attempt, engine, status, duration_ns, final, note = OUTCOME.unpack_from(part)
+def _decode_outcome(fields: memoryview) -> api.Outcome:
+    request, attempt, engine, status, duration_ns, final, note = OUTCOME.unpack_from(fields)
     return api.Outcome(
         request=request,
         attempt=attempt,
         engine=engine,
         result=RESULTS.get(status, api.Result.ERROR),
-        duration=duration_ns / NANOSECONDS,
+        duration=duration_ns / NANOSECONDS_PER_SECOND,
         final=bool(final),
         work=(note >> WORK_SHIFT) / MS_PER_SECOND,
         memory_mb=(note & MEMORY_MASK) * MEMORY_UNIT_MB,
-        report=_floats(part, OUTCOME.size),
+        report=_decode_report(fields, OUTCOME.size),
     )
 
 
-def _started(part: memoryview) -> api.Started:
-    request, attempt, engine = STARTED.unpack_from(part)
+def _decode_started(fields: memoryview) -> api.Started:
+    request, attempt, engine = STARTED.unpack_from(fields)
     return api.Started(request, attempt, engine)
 
 
-def _note(part: memoryview) -> api.Note | None:
-    request, engine, kind, value, attempt = NOTE.unpack_from(part)
+def _decode_note(fields: memoryview) -> api.Note | None:
+    request, engine, kind, value, attempt = NOTE.unpack_from(fields)
     if kind not in NOTE_KINDS:
         return None
-    return api.Note(request, attempt, engine, api.NoteKind(kind), _number(value))
+    return api.Note(request, attempt, engine, api.NoteKind(kind), _non_negative(value))
 
 
-def _probe_result(part: memoryview) -> api.ProbeResult:
-    engine, status, duration_ns = PROBE_RESULT.unpack_from(part)
+def _decode_probe_result(fields: memoryview) -> api.ProbeResult:
+    engine, status, duration_ns = PROBE_RESULT.unpack_from(fields)
     result = RESULTS.get(status, api.Result.ERROR)
-    return api.ProbeResult(engine, result, duration_ns / NANOSECONDS, _floats(part, PROBE_RESULT.size))
+    return api.ProbeResult(
+        engine, result, duration_ns / NANOSECONDS_PER_SECOND, _decode_report(fields, PROBE_RESULT.size)
+    )
 
 
-def _timer(part: memoryview) -> api.Timer:
-    return api.Timer(REQUEST_ID.unpack_from(part)[0])
+def _decode_timer(fields: memoryview) -> api.Timer:
+    (token,) = TIMER_TOKEN.unpack_from(fields)
+    return api.Timer(token)
 
 
-def _client_gone(part: memoryview) -> api.ClientGone:
-    return api.ClientGone(REQUEST_ID.unpack_from(part)[0])
+def _decode_client_gone(fields: memoryview) -> api.ClientGone:
+    (request,) = REQUEST_ID.unpack_from(fields)
+    return api.ClientGone(request)
 
 
-def _peer_message(part: memoryview) -> api.PeerMessage:
-    (sender,) = ENGINE_ID.unpack_from(part)
-    return api.PeerMessage(sender, _blob(part, ENGINE_ID.size, "<H"))
+def _decode_peer_message(fields: memoryview) -> api.PeerMessage:
+    (sender,) = PEER_ID.unpack_from(fields)
+    return api.PeerMessage(sender, _decode_bytes(fields, PEER_ID.size, PEER_MESSAGE_SIZE))
 
 
 _DECODERS: dict[int, Callable[[memoryview], InstanceEvent | None]] = {
-    EventCode.BOOT: _boot,
-    EventCode.REQUEST: _request,
-    EventCode.STARTED: _started,
-    EventCode.OUTCOME: _outcome,
-    EventCode.CLIENT_GONE: _client_gone,
-    EventCode.TIMER: _timer,
-    EventCode.PROBE_RESULT: _probe_result,
-    EventCode.PEER_MESSAGE: _peer_message,
-    EventCode.SHUTDOWN: _shutdown,
-    EventCode.NOTE: _note,
+    EventCode.BOOT: _decode_boot,
+    EventCode.REQUEST: _decode_request,
+    EventCode.STARTED: _decode_started,
+    EventCode.OUTCOME: _decode_outcome,
+    EventCode.CLIENT_GONE: _decode_client_gone,
+    EventCode.TIMER: _decode_timer,
+    EventCode.PROBE_RESULT: _decode_probe_result,
+    EventCode.PEER_MESSAGE: _decode_peer_message,
+    EventCode.SHUTDOWN: _decode_shutdown,
+    EventCode.NOTE: _decode_note,
 }
--- a/applevale/simulator_wire/encoder.py
+++ b/applevale/simulator_wire/encoder.py
@@ -1,4 +1,4 @@
-"""Encoder of the simulator's wire: actions to records, and records to a reply. It decides nothing."""
+"""Encodes actions as records, and records as a reply, for the simulator's wire protocol."""
 
 from __future__ import annotations
 
@@ -16,84 +16,86 @@
     MAX_TEXT_BYTES,
     PEER_MESSAGE_HEAD,
     RECORD_HEAD,
+    REJECT,
     REPLY_HEAD,
     REQUEST_ID,
     SEND,
+    SET_TIMER,
     TERMS,
     TEXT_HEAD,
-    TWO_NUMBERS,
     ActionCode,
 )
-from .units import NANOSECONDS
+from .units import NANOSECONDS_PER_SECOND
 
 
-def _record(code: int, fields: bytes = b"") -> bytes:
+def _encode_record(code: int, fields: bytes = b"") -> bytes:
     return RECORD_HEAD.pack(code, len(fields)) + fields
 
 
-def _text(code: int, text: str) -> bytes:
+def _encode_text(code: int, text: str) -> bytes:
     data = text.encode()[:MAX_TEXT_BYTES]
-    return _record(code, TEXT_HEAD.pack(len(data)) + data)
+    return _encode_record(code, TEXT_HEAD.pack(len(data)) + data)
 
 
 def _to_ns(seconds: float) -> int:
-    return max(0, round(seconds * NANOSECONDS))
+    """Return a duration in nanoseconds; a negative one as 0."""
+    return max(0, round(seconds * NANOSECONDS_PER_SECOND))
 
 
 def encode_instance(instance: int) -> bytes:
-    """Return the record that names the instance of those behind it."""
-    return _record(ActionCode.INSTANCE, INSTANCE_ID.pack(instance))
+    """Return the record that names the instance to which the following records belong."""
+    return _encode_record(ActionCode.INSTANCE, INSTANCE_ID.pack(instance))
 
 
 def encode_exception(text: str) -> bytes:
-    """Return the record that reports a fault of an instance."""
-    return _text(ActionCode.EXCEPTION, text)
+    """Return the record that reports an unhandled exception."""
+    return _encode_text(ActionCode.EXCEPTION, text)
 
 
 def _encode_send(action: api.Send) -> bytes:
-    return _record(ActionCode.SEND, SEND.pack(action.request, _to_ns(action.timeout), action.engine))
+    return _encode_record(ActionCode.SEND, SEND.pack(action.request, _to_ns(action.timeout), action.engine))
 
 
 def _encode_terms(action: api.Terms) -> bytes:
-    return _record(ActionCode.TERMS, TERMS.pack(action.request, action.memory_mb, action.priority))
+    return _encode_record(ActionCode.TERMS, TERMS.pack(action.request, action.memory_mb, action.priority))
 
 
 def _encode_reject(action: api.Reject) -> bytes:
-    return _record(ActionCode.REJECT, TWO_NUMBERS.pack(action.request, _to_ns(action.retry_after)))
+    return _encode_record(ActionCode.REJECT, REJECT.pack(action.request, _to_ns(action.retry_after)))
 
 
 def _encode_fail(action: api.Fail) -> bytes:
-    return _record(ActionCode.FAIL, REQUEST_ID.pack(action.request))
+    return _encode_record(ActionCode.FAIL, REQUEST_ID.pack(action.request))
 
 
 def _encode_cancel(action: api.Cancel) -> bytes:
-    return _record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request, action.attempt))
+    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request, action.attempt))
 
 
 def _encode_probe(action: api.Probe) -> bytes:
-    return _record(ActionCode.PROBE, ENGINE_ID.pack(action.engine))
+    return _encode_record(ActionCode.PROBE, ENGINE_ID.pack(action.engine))
 
 
 def _encode_set_timer(action: api.SetTimer) -> bytes:
-    return _record(ActionCode.SET_TIMER, TWO_NUMBERS.pack(_to_ns(action.after), action.token))
+    return _encode_record(ActionCode.SET_TIMER, SET_TIMER.pack(_to_ns(action.after), action.token))
 
 
 def _encode_log(action: api.Log) -> bytes:
-    return _text(ActionCode.LOG, action.text)
+    return _encode_text(ActionCode.LOG, action.text)
 
 
 def _encode_subscribe(action: api.Subscribe) -> bytes:
-    return _record(ActionCode.SUBSCRIBE, FLAG.pack(action.active))
+    return _encode_record(ActionCode.SUBSCRIBE, FLAG.pack(action.active))
 
 
 def _encode_fetch_list(action: api.FetchList) -> bytes:
-    return _record(ActionCode.FETCH_LIST)
+    return _encode_record(ActionCode.FETCH_LIST)
 
 
 def _encode_peer_message(action: api.SendPeerMessage) -> bytes:
     body = action.body[:MAX_PEER_MESSAGE_BYTES]
     receiver = ALL_PEERS if action.peer is None else action.peer
-    return _record(ActionCode.PEER_MESSAGE, PEER_MESSAGE_HEAD.pack(receiver, len(body)) + body)
+    return _encode_record(ActionCode.PEER_MESSAGE, PEER_MESSAGE_HEAD.pack(receiver, len(body)) + body)
 
 
 _ENCODERS: dict[type, Callable[[Any], bytes]] = {
@@ -115,11 +117,11 @@
     """Return the record of an action.
 
     Raises:
-        TypeError: It is none.
+        TypeError: The object is not an action.
     """
     encode = _ENCODERS.get(type(action))
     if encode is None:
-        raise TypeError(f"not an action: {action!r}")
+        raise TypeError(f"cannot encode {action!r}: not an action")
     return encode(action)
 
 
--- a/applevale/simulator_wire/layout.py
+++ b/applevale/simulator_wire/layout.py
@@ -1,6 +1,7 @@
-"""Layout of the simulator's wire: records, their codes and their fixed fields, all little-endian.
+"""Layout of the simulator's wire protocol: record codes and fixed fields, all little-endian.
 
-A batch is a head, then records; a record is its code, its size and its fields.
+A batch is a header followed by records. A record is a code, the size of its fields, and the fields. All
+sizes are in bytes.
 """
 
 from __future__ import annotations
@@ -10,37 +11,47 @@
 
 from .. import api
 
-BATCH_HEAD = struct.Struct("<IQI")  # size, clock, number of records
-RECORD_HEAD = struct.Struct("<BI")  # code, size
-REPLY_HEAD = struct.Struct("<II")  # size, number of records
+BATCH_HEAD = struct.Struct("<IQI")  # body size in bytes, clock in ns, number of records
+RECORD_HEAD = struct.Struct("<BI")  # code, size of the fields in bytes
+REPLY_HEAD = struct.Struct("<II")  # body size in bytes, number of records
 REQUEST = struct.Struct("<QHIQQQffH")
 OUTCOME = struct.Struct("<QBIHQBI")
 NOTE = struct.Struct("<QIBfB")
 PROBE_RESULT = struct.Struct("<IHQ")
-LIST_PAGE_HEAD = struct.Struct("<II")  # number of the page, number of its entries
+LIST_PAGE_HEAD = struct.Struct("<II")  # page number, number of entries
 LIST_ENTRY = struct.Struct("<HQBHfHI")
-LIST_CHANGE = struct.Struct("<BQI")  # kind, revision, page
+LIST_CHANGE = struct.Struct("<BQI")  # kind, revision, page number
 REQUEST_ID = struct.Struct("<Q")
+TIMER_TOKEN = struct.Struct("<Q")
+SEED = struct.Struct("<Q")
+SETTINGS_SIZE = struct.Struct("<I")
 ATTEMPT_ID = struct.Struct("<QB")
 STARTED = struct.Struct("<QBI")
 INSTANCE_ID = struct.Struct("<H")
 ENGINE_ID = struct.Struct("<I")
+PEER_ID = struct.Struct("<I")
+PEER_MESSAGE_SIZE = struct.Struct("<H")
 SEND = struct.Struct("<QQI")
 TERMS = struct.Struct("<QfB")
-TWO_NUMBERS = struct.Struct("<QQ")
-PEER_MESSAGE_HEAD = struct.Struct("<IH")
+REJECT = struct.Struct("<QQ")  # request, retry delay in ns
+SET_TIMER = struct.Struct("<QQ")  # delay in ns, token
+PEER_MESSAGE_HEAD = struct.Struct("<IH")  # receiver, size of the body in bytes
 FLAG = struct.Struct("<B")
 TEXT_HEAD = struct.Struct("<H")
 
-ALL_PEERS = 0xFFFFFFFF
+ALL_PEERS = 0xFFFFFFFF  # receiver of a message to every peer
 MAX_TEXT_BYTES = 1000
 MAX_PEER_MESSAGE_BYTES = 256
 
-HAS_WORK_ESTIMATE = 1  # bits of a request's options
+# Bits of a request's options.
+HAS_WORK_ESTIMATE = 1
 IS_CLIENT_RETRY = 2
-LIST_CALL_FAILED = 1  # kinds of a list change
+
+# Kinds of a list change.
+LIST_CALL_FAILED = 1
 WHOLE_LIST_KINDS = (0, 2)
-# An outcome's note: the work in ms above the lowest 12 bits, the memory in units of 4 MB in them.
+
+# The note of an outcome has the memory in units of 4 MB in its lowest 12 bits, and the work in ms above them.
 WORK_SHIFT = 12
 MEMORY_MASK = 0xFFF
 MEMORY_UNIT_MB = 4.0
@@ -61,7 +72,7 @@
 
 
 class EventCode(IntEnum):
-    """Codes of records in a batch."""
+    """Codes of the records in a batch."""
 
     BOOT = 10
     LIST_CHANGE = 20
@@ -79,7 +90,7 @@
 
 
 class ActionCode(IntEnum):
-    """Codes of records in a reply."""
+    """Codes of the records in a reply."""
 
     SEND = 10
     REJECT = 20
@@ -97,4 +108,4 @@
 
 
 class WireError(ValueError):
-    """A frame or record that cannot be read; the text says what and where."""
+    """A batch or record is malformed; the message names the place and the fault."""
--- a/applevale/simulator_wire/settings.py
+++ b/applevale/simulator_wire/settings.py
@@ -1,27 +1,34 @@
-"""Reads the settings of a deployment from the path=value lines of the simulator's wire."""
+"""Reads the settings of a deployment from the path=value lines of the simulator's wire protocol."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from .. import api
-from .units import NANOSECONDS
+from .units import NANOSECONDS_PER_SECOND
 
-# Report columns whose meaning a setting names, and what those meanings are called in `Settings`.
+# Load report columns whose meaning depends on the deployment, with the settings that state their meaning.
 COLUMN_SETTINGS = {"x0": "report_x0", "x1": "report_x1"}
+# The names of these meanings in `Settings.report_columns`.
 COLUMN_MEANINGS = {"share_of_memory_granted": "memory_used", "share_of_disks_busy": "disk_busy"}
 BOOLEANS = {"true": True, "false": False}
 
 
 class SettingLines:
-    """The path=value lines; a value that is missing or unreadable raises SettingsError with its path."""
+    """Typed access to path=value lines.
+
+    Every method raises SettingsError, with the path first, for a value that is missing or invalid.
+
+    Attributes:
+        values: The text of each value, by path.
+    """
 
     def __init__(self, text: str):
-        """Split the lines; those without an equals sign are passed over."""
+        """Parse the lines; those without an equals sign are ignored."""
         self.values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
     def get(self, path: str, kind: type, default: object = None):
-        """Return the value of a path as `kind`; a path without a default must be there."""
+        """Return the value of a path as `kind`; without a default the path is required."""
         if path not in self.values:
             if default is None:
                 raise api.SettingsError(f"{path}: missing")
@@ -33,16 +40,16 @@
             raise api.SettingsError(f"{path}: {raw!r} is not a {kind.__name__}") from None
 
     def seconds(self, path: str, default: float) -> float:
-        """Return a time, which the line has in nanoseconds."""
-        return self.get(path, float, default * NANOSECONDS) / NANOSECONDS
+        """Return in seconds a time that is stated in nanoseconds; `default` is in seconds."""
+        return self.get(path, float, default * NANOSECONDS_PER_SECOND) / NANOSECONDS_PER_SECOND
 
     def list(self, path: str) -> list[str]:
-        """Return a list, empty where the path is absent."""
+        """Return a comma-separated list; empty if the path is absent."""
         raw = self.values.get(path, "")
         return raw.split(",") if raw else []
 
     def item(self, path: str, kind: type, index: int, default: object):
-        """Return one item of a list; the last one stands for all behind it."""
+        """Return an item of a list; an index past the end returns the last item."""
         values = self.list(path)
         if not values:
             return default
@@ -53,7 +60,7 @@
             raise api.SettingsError(f"{path}: {raw!r} is not a {kind.__name__}") from None
 
     def indices(self, path: str, names: list[str]) -> frozenset[int] | None:
-        """Return a list of numbers or names as numbers; None where the path is absent."""
+        """Return a list of names and indices as indices into `names`; None if the path is absent."""
         count = self.get(f"{path}.count", int, 0)
         raw_items = [self.values[f"{path}.{index}"] for index in range(count)] if count else self.list(path)
         if path not in self.values and not count:
@@ -61,10 +68,12 @@
         try:
             return frozenset(names.index(item) if item in names else int(item) for item in raw_items)
         except ValueError:
-            raise api.SettingsError(f"{path}: {raw_items!r} names nothing known") from None
+            raise api.SettingsError(
+                f"{path}: {raw_items!r} contains an unknown name; known: {names!r}"
+            ) from None
 
     def items(self, path: str, read: Callable[[int], object], default_count: int | None = None) -> tuple:
-        """Return what `read` makes of each index below the number at `path`.count."""
+        """Return the results of `read` for each index below the number at `path`.count."""
         return tuple(read(index) for index in range(self.get(f"{path}.count", int, default_count)))
 
 
@@ -72,7 +81,7 @@
     """Return the settings that the lines describe.
 
     Raises:
-        SettingsError: A value is missing or makes no sense; the text begins with its path.
+        SettingsError: A value is missing or invalid; the message begins with its path.
     """
     lines = SettingLines(text)
     zones = lines.list("zones")
@@ -102,12 +111,12 @@
     try:
         repeat = api.Repeat(lines.get(path + "repeat", str))
     except ValueError:
-        raise api.SettingsError(f"{path}repeat: safe, keyed or unsafe") from None
+        raise api.SettingsError(f"{path}repeat: must be safe, keyed or unsafe") from None
     return api.ClassSpec(
         name=lines.get(path + "name", str, f"class-{index}"),
-        aim=lines.get(path + "aim", float) / NANOSECONDS,
+        aim=lines.get(path + "aim", float) / NANOSECONDS_PER_SECOND,
         aim_stretch=lines.get(path + "aim_stretch", float, 0.0),
-        deadline=lines.get(path + "deadline", float) / NANOSECONDS,
+        deadline=lines.get(path + "deadline", float) / NANOSECONDS_PER_SECOND,
         worth=lines.get(path + "worth", float, 1.0),
         late_share=lines.get(path + "late_share", float, 0.0),
         repeat=repeat,
--- a/applevale/simulator_wire/units.py
+++ b/applevale/simulator_wire/units.py
@@ -1,3 +1,3 @@
-"""Units of the simulator's wire."""
+"""Time unit of the simulator's wire protocol."""
 
-NANOSECONDS = 1_000_000_000  # in a second; times travel in nanoseconds
+NANOSECONDS_PER_SECOND = 1_000_000_000
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the bytes of the description of the simulator wire, and malformed input."""
+"""The codec of the simulator's wire protocol: bytes from the protocol's description, and malformed input."""
 
 import io
 import struct
@@ -41,7 +41,7 @@
         (record_size,) = struct.unpack_from("<I", body, position + 1)
         position += RECORD_HEAD_BYTES + record_size
         count += 1
-    return [event for _, event in decoder.Decoder().batch(count, body)]
+    return [event for _, event in decoder.Decoder().decode_batch(count, body)]
 
 
 def test_a_request_is_decoded():
@@ -70,7 +70,7 @@
     assert event.report == pytest.approx((3.0, 0.62, 1.25, 0.4))
 
 
-def test_a_list_a_note_a_probe_result_and_the_smaller_events_are_decoded():
+def test_all_other_events_are_decoded():
     events = decode(
         "82020000000300 7836000000 00000000 02000000"
         "0000 0000000000000000 02 0000 0000803f 0000 074a1203"
@@ -81,11 +81,11 @@
         "4608000000 4d00000000000000 3c08000000 192b6f0e310e0300 5a0a000000 02000000 0400 68692037"
         "6400000000"
     )
-    listing, note, probe, timer, client_gone, peer_message, shutdown = events
-    assert listing.whole
-    assert [entry.engine for entry in listing.entries] == [0x03124A07, 0x2C9011F2]
-    assert listing.entries[1].size == 1.5
-    assert listing.entries[1].started == pytest.approx(6.1)
+    engine_list, note, probe, timer, client_gone, peer_message, shutdown = events
+    assert engine_list.whole
+    assert [entry.engine for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
+    assert engine_list.entries[1].size == 1.5
+    assert engine_list.entries[1].started == pytest.approx(6.1)
     assert note.kind is api.NoteKind.PROGRESS
     assert note.value == 0.5
     assert probe.engine == 0x2C9011F2
@@ -143,7 +143,7 @@
     return layout.BATCH_HEAD.pack(len(body), 10_000_000_000, count) + body
 
 
-def test_an_unknown_event_is_ignored_and_the_end_of_input_logs_nothing(capsys):
+def test_an_unknown_record_is_ignored_and_the_end_of_input_logs_nothing(capsys):
     data = make_batch(bytes.fromhex("82020000000300fe03000000010203"), 2)
     output = io.BytesIO()
     assert adapter.serve(io.BytesIO(data), output) == 0
@@ -155,7 +155,7 @@
     "data",
     [b"\0" * 7, make_batch(b"\x1e\x30\0\0\0", 1), make_batch(b"", 1), make_batch(b"ab", 0)[:-1]],
 )
-def test_malformed_input_ends_the_adapter_with_one_line(data, capsys):
+def test_malformed_input_ends_the_adapter_with_one_line_of_error(data, capsys):
     assert adapter.serve(io.BytesIO(data), io.BytesIO()) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
