--- a/applevale/observability/counters.py
+++ b/applevale/observability/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the program takes in, sends and answers; logged regularly, on SIGUSR1 and at exit."""
+"""Named event counters; logged at regular intervals, on SIGUSR1 and at exit."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class Counters(Counter):
-    """A count by name; a name that was never counted is 0."""
+    """Counts by name; the count of an unknown name is 0."""
 
     def dump(self) -> None:
-        """Log all counts, in the order of their names."""
+        """Log all counts, sorted by name."""
         counts = dict(sorted(self.items()))
         log_unlimited("counters", "counters " + json.dumps(counts), counts=counts)
--- a/applevale/observability/events.py
+++ b/applevale/observability/events.py
@@ -1,12 +1,12 @@
-"""Log events on standard error: plain lines for people, or one JSON object a line for programs.
+"""Logging to standard error: plain lines for people, or one JSON object per line for programs.
 
 Invariants:
 
-- Of one kind at most `MAX_LINES_PER_KIND` lines are written in a window of time, whatever the form, so that
-  bad input cannot flood the log; the next line of that kind reports how many were left out.
-- `emit_event` is for programs that follow the state of an instance; the console prints none of its events.
-- A line that is asked for within the write of another one follows it.
-- The console needs no library; structlog is loaded by `use_json` only.
+- At most `MAX_LINES_PER_KIND` lines of each kind are written per `RATE_WINDOW_SECONDS` in either format, so
+  that bad input cannot flood the log. The next line of that kind reports how many lines were dropped.
+- Events of `emit_event` are for programs that track the state of an instance, and appear in JSON only.
+- A line that is logged during the write of another line is written after it.
+- Plain lines need no third-party library; only `use_json` imports structlog.
 """
 
 from __future__ import annotations
@@ -18,16 +18,21 @@
 from dataclasses import dataclass
 from math import inf
 
-RATE_WINDOW_SECONDS = 1.0  # over which lines of one kind are counted
-MAX_LINES_PER_KIND = 5  # in a window
-MAX_EVENTS_PER_KIND = 100  # of `emit_event`, in a window
+RATE_WINDOW_SECONDS = 1.0
+MAX_LINES_PER_KIND = 5
+MAX_EVENTS_PER_KIND = 100  # higher, because a reader needs the latest event to know the present state
 
-Writer = Callable[[str, str, dict], None]  # kind, text, fields
+JsonWriter = Callable[[str, str, dict], None]  # takes kind, text and fields
 
 
 @dataclass(slots=True)
 class _RateWindow:
-    """The lines of one kind that were asked for since `started_at` (s)."""
+    """The number of lines of one kind that were requested in the current window.
+
+    Attributes:
+        started_at: Start of the window in seconds of the monotonic clock.
+        line_count: Requested lines, including those that were dropped.
+    """
 
     started_at: float = -inf
     line_count: int = 0
@@ -35,7 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Line:
-    """A line to be written, in both forms."""
+    """A line to be written, in either format.
+
+    Attributes:
+        kind: The kind of event.
+        text: The text for people; may be empty.
+        fields: Further members of the JSON object.
+        console: The whole plain line.
+    """
 
     kind: str
     text: str
@@ -44,16 +56,19 @@
 
 
 _windows: dict[str, _RateWindow] = {}
-_queue: deque[_Line] = deque()  # lines that are asked for while another one is written
+_queue: deque[_Line] = deque()  # includes lines that are logged during the write of another one
 _is_writing = False
-_json_writer: Writer | None = None  # None: the console
+_json_writer: JsonWriter | None = None  # None selects plain lines
 
 
 def use_json(instance: str) -> None:
-    """Write one JSON object a line from now on.
+    """Write one JSON object per line from now on.
+
+    Its members are `event` (the kind), `text` if it is not empty, the fields of the event, `at` (seconds of
+    the monotonic clock, which all processes of a machine share) and `instance`.
 
-    Its keys are `event`, `text` where there is one, the fields of the event, `at` (s, the monotonic clock
-    that all processes of a machine share) and `instance`.
+    Args:
+        instance: The name of this instance.
 
     Raises:
         ImportError: structlog is not installed.
@@ -78,13 +93,20 @@
 
 
 def use_console() -> None:
-    """Write plain lines from now on; the form at the start."""
+    """Write plain lines from now on, which is the default."""
     global _json_writer
     _json_writer = None
 
 
 def log_event(kind: str, text: str, limit: int = MAX_LINES_PER_KIND, **fields: object) -> None:
-    """Write one line for people, with `fields` for programs; at most `limit` of a kind in a window."""
+    """Write a line unless its kind has reached its limit.
+
+    Args:
+        kind: The kind of event, by which lines are limited.
+        text: The text for people.
+        limit: The most lines of this kind per `RATE_WINDOW_SECONDS`.
+        **fields: Further members of the JSON object; they do not appear in a plain line.
+    """
     now = time.monotonic()
     window = _windows.get(kind)
     if window is None:
@@ -100,24 +122,30 @@
 
 
 def emit_event(kind: str, **fields: object) -> None:
-    """Write an event for programs; nothing on the console.
+    """Write an event for programs if the format is JSON.
 
-    Limited like lines, at a higher number: whoever follows a state needs its last change.
+    At most `MAX_EVENTS_PER_KIND` are written per `RATE_WINDOW_SECONDS`.
     """
     if _json_writer is not None:
         log_event(kind, "", MAX_EVENTS_PER_KIND, **fields)
 
 
 def log_unlimited(kind: str, line: str, **fields: object) -> None:
-    """Write what was asked for, or comes once, without a limit; on the console `line` alone."""
+    """Write a line that was requested explicitly or occurs once, without a limit.
+
+    Args:
+        kind: The kind of event, in JSON only.
+        line: The whole plain line; JSON has the kind and the fields in its place.
+        **fields: Further members of the JSON object.
+    """
     _write(kind, "", fields, line)
 
 
 def _write(kind: str, text: str, fields: dict, console_line: str | None = None) -> None:
-    """Write a line, or queue it behind the one that is being written.
+    """Write a line, or queue it if another one is being written.
 
-    A garbage collection may start within a write, and its callback logs: structlog's lock is not reentrant,
-    so the thread would wait for itself for ever, and the standard stream refuses a write within a write.
+    A garbage collection may start during a write, and its callback logs. A nested write would deadlock on
+    structlog's lock, which is not reentrant, and standard error does not allow reentrant writes either.
     """
     global _is_writing
     console = f"{kind}: {text}" if console_line is None else console_line
