--- a/applevale/config/__init__.py
+++ b/applevale/config/__init__.py
@@ -1,1 +1,1 @@
-"""The program's configuration: environment variables and one JSON file."""
+"""The program's configuration: one JSON file, and environment variables."""
--- a/applevale/config/loader.py
+++ b/applevale/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads the environment's variables and the JSON file that they name into one typed configuration."""
+"""Reads the configuration from a JSON file and from environment variables, which take precedence."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def load_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Return the configuration in the file that `BALANCER_CONFIG` names.
+    """Read the JSON file at the path in `BALANCER_CONFIG`, and return the configuration.
 
     Raises:
-        ConfigError: It cannot be used; the text is one line that names the key.
+        ConfigError: The configuration is invalid; the message is one line that names the key.
     """
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise ConfigError("BALANCER_CONFIG: missing")
+        raise ConfigError("BALANCER_CONFIG: missing; the path of the JSON configuration is needed")
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
@@ -42,10 +42,10 @@
     """Return the configuration that a decoded JSON file and the environment describe.
 
     Raises:
-        ConfigError: It cannot be used; the text is one line that names the key.
+        ConfigError: The configuration is invalid; the message is one line that names the key.
     """
     if not isinstance(raw, dict):
-        raise ConfigError("BALANCER_CONFIG: an object is needed at the top")
+        raise ConfigError("BALANCER_CONFIG: a JSON object is needed at the top level")
     raw_settings = read_section(raw, "settings")
     settings = read_settings(raw_settings)
     names = _read_names(raw_settings, settings)
@@ -68,10 +68,10 @@
         peers=peers,
         registry=registry,
         zones=zones,
-        admin_address=sections.read_control(raw, environ),
-        json_log=sections.read_log_form(raw, environ),
+        admin_address=sections.read_admin_address(raw, environ),
+        json_log=sections.read_json_log(raw, environ),
         engine_connects=sections.read_engine_connects(raw),
-        membership=sections.read_membership(raw, peers, settings.me),
+        membership=sections.read_membership_interval(raw, peers, settings.me),
         local_address=sections.read_local_address(raw),
     )
 
--- a/applevale/config/model.py
+++ b/applevale/config/model.py
@@ -12,28 +12,49 @@
 
 
 class ConfigError(AppleValeError, ValueError):
-    """Something is missing or makes no sense; the text is one line that names its key."""
+    """The configuration is invalid; the message is one line that names the key at fault."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """All that one process is started with."""
+    """The configuration of one process.
+
+    Attributes:
+        name: The name of this instance in the log.
+        listen: The address on which clients are served.
+        feed: The address of the control feed; without one the engine list stays as in `known`.
+        seed: The seed of all random draws.
+        sockets: The most file descriptors that the process may have open.
+        memory_bytes: The most memory that the process may use.
+        settings: The settings of the decision module.
+        connection_limits: The limits of connections to engines.
+        names: The names of zones and machine kinds, by which the engine list refers to them.
+        known: The updates of the engine list that are known at the start.
+        peers: The addresses of the other instances; without them no datagrams are exchanged.
+        registry: The settings of the key-value registry; without them the engine list comes from the feed.
+        zones: The content of the zones file; without it requests are not routed by zone.
+        admin_address: The address of the admin API; without it there is no admin API.
+        json_log: Whether the log has JSON lines in place of plain ones.
+        engine_connects: The most connects per second to one engine by the whole fleet; None is no limit.
+        membership: The seconds between two membership probes; None disables membership.
+        local_address: The source address of outgoing connections; empty for the system's choice.
+    """
 
     name: str
     listen: Address
-    feed: Address | None  # of the control feed; None: the list stays as in `known`
+    feed: Address | None
     seed: int
-    sockets: int  # file descriptors that the process may hold
+    sockets: int
     memory_bytes: int
     settings: api.Settings
-    connection_limits: ConnectionLimits  # to engines
-    names: AttributeNames  # of zones and machine kinds
-    known: tuple[EndpointUpdate, ...]  # of the list of engines so far
-    peers: PeerAddresses | None = None  # None: there are none to exchange datagrams with
-    registry: object = None  # settings of a key-value registry; None: the list comes from the feed
-    zones: object = None  # the zones file; None: zones make no difference
-    admin_address: Address | None = None  # of the operators' API; None: there is none
-    json_log: bool = False  # events as JSON lines in place of plain ones
-    engine_connects: float | None = None  # connects a second to one engine, over the fleet; None: no limit
-    membership: float | None = None  # seconds between two probes of members; None: there is no membership
-    local_address: str = ""  # the local address that outgoing connections bind; empty: the system's choice
+    connection_limits: ConnectionLimits
+    names: AttributeNames
+    known: tuple[EndpointUpdate, ...]
+    peers: PeerAddresses | None = None
+    registry: object = None
+    zones: object = None
+    admin_address: Address | None = None
+    json_log: bool = False
+    engine_connects: float | None = None
+    membership: float | None = None
+    local_address: str = ""
--- a/applevale/config/sections.py
+++ b/applevale/config/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the configuration file, each read and checked by a function of its own.
+"""Functions that read and check one section of the configuration each.
 
 All of them raise ConfigError.
 """
@@ -17,19 +17,19 @@
 from .model import ConfigError
 from .values import read_address, read_number, read_section, reject_unknown_keys
 
-DEFAULT_MAX_ATTEMPTS = 32  # on one connection to an engine
+DEFAULT_MAX_ATTEMPTS_PER_CONNECTION = 32
 DEFAULT_IDLE_TIMEOUT_NS = 15 * NANOSECONDS_PER_SECOND
 DEFAULT_CONNECT_TIMEOUT_NS = 0.25 * NANOSECONDS_PER_SECOND
-MIN_ENGINE_CONNECTS = 0.1  # a second
+MIN_ENGINE_CONNECTS_PER_SECOND = 0.1
 MIN_MEMBERS = 2
 MAX_MEMBERS = 65535
-DEFAULT_PROBE_SECONDS = 0.1  # between two probes of members
-MIN_PROBE_SECONDS = 0.02
-LOG_FORMS = ("console", "json")
+DEFAULT_PROBE_INTERVAL_SECONDS = 0.1
+MIN_PROBE_INTERVAL_SECONDS = 0.02
+LOG_FORMATS = ("console", "json")
 
 
 def read_peers(raw: Mapping) -> PeerAddresses | None:
-    """Return the addresses of the other instances; None without `peer_listen`."""
+    """Return the addresses for datagrams between instances, or None without `peer_listen`."""
     if raw.get("peer_listen") is None:
         return None
     each = raw.get("peers", [])
@@ -48,7 +48,7 @@
     limits = read_section(raw_settings, "limits")
     prices = read_section(raw_settings, "prices")
     return ConnectionLimits(
-        max_attempts=int(read_number(limits, "streams_per_conn", DEFAULT_MAX_ATTEMPTS, 1)),
+        max_attempts=int(read_number(limits, "streams_per_conn", DEFAULT_MAX_ATTEMPTS_PER_CONNECTION, 1)),
         idle_timeout=read_number(limits, "conn_idle", DEFAULT_IDLE_TIMEOUT_NS, 1) / NANOSECONDS_PER_SECOND,
         connect_timeout=read_number(limits, "dial_timeout", DEFAULT_CONNECT_TIMEOUT_NS, 1)
         / NANOSECONDS_PER_SECOND,
@@ -59,16 +59,19 @@
 
 
 def read_registry(raw: Mapping) -> object:
-    """Return the settings of the registry, if there is one; its libraries are imported only then."""
+    """Return the settings of the registry, or None if there is none.
+
+    The registry's libraries are imported only if there is one.
+    """
     if raw.get("registry") is None:
         return None
     if raw.get("feed"):
-        raise ConfigError("feed: not together with registry")
+        raise ConfigError("feed: cannot be used together with registry; remove one of the two")
     try:
         from ..discovery.registry import settings, source
 
         registry = settings.read_settings(raw["registry"])
-        source.load_session_class(registry.kind)  # all that it needs must be there
+        source.load_session_class(registry.kind)  # fails here if a library is missing
         return registry
     except ImportError as error:
         raise ConfigError(f"registry: {error.name} is missing: install the extra 'registry'") from None
@@ -77,7 +80,10 @@
 
 
 def read_zones_file(raw: Mapping, names: AttributeNames, settings: api.Settings) -> object:
-    """Return the file that `zones_file` names, if any; its library is imported only then."""
+    """Return the content of the zones file, or None if none is named.
+
+    The file's library is imported only if one is named.
+    """
     path = raw.get("zones_file")
     if path is None:
         return None
@@ -93,35 +99,39 @@
         raise ConfigError(f"zones_file: {error}") from None
 
 
-def read_control(raw: Mapping, environ: Mapping[str, str]) -> Address | None:
-    """Return the address of the operators' API; None: there is none."""
+def read_admin_address(raw: Mapping, environ: Mapping[str, str]) -> Address | None:
+    """Return the address of the admin API, or None if there is none."""
     if environ.get("BALANCER_CONTROL"):
         return read_address(environ["BALANCER_CONTROL"], "BALANCER_CONTROL")
     return read_address(raw["control"], "control") if raw.get("control") else None
 
 
 def read_engine_connects(raw: Mapping) -> float | None:
-    """Return the connects a second to one engine, over the fleet; None: no limit."""
+    """Return the most connects per second to one engine by the whole fleet, or None for no limit."""
     section = read_section(raw, "startup")
     reject_unknown_keys(section, "startup", "engine_connects")
-    return read_number(section, "engine_connects", 0.0, MIN_ENGINE_CONNECTS) if section else None
+    return read_number(section, "engine_connects", 0.0, MIN_ENGINE_CONNECTS_PER_SECOND) if section else None
 
 
-def read_membership(raw: Mapping, peers: PeerAddresses | None, me: int) -> float | None:
-    """Return the seconds between two probes of members; None: there is no membership."""
+def read_membership_interval(raw: Mapping, peers: PeerAddresses | None, me: int) -> float | None:
+    """Return the seconds between two membership probes, or None if membership is disabled."""
     if raw.get("membership") is None:
         return None
     section = read_section(raw, "membership")
     reject_unknown_keys(section, "membership", "probe")
     if peers is None or not MIN_MEMBERS <= len(peers.each) <= MAX_MEMBERS:
-        raise ConfigError("membership: peer_listen and the addresses of 2 to 65535 peers are needed")
+        raise ConfigError(
+            f"membership: peer_listen and the addresses of {MIN_MEMBERS} to {MAX_MEMBERS} peers are needed"
+        )
     if me >= len(peers.each):
-        raise ConfigError(f"settings.me: {me} is none of the {len(peers.each)} peers")
-    return read_number(section, "probe", DEFAULT_PROBE_SECONDS, MIN_PROBE_SECONDS)
+        raise ConfigError(
+            f"settings.me: {me} is none of the {len(peers.each)} peers; it must be the index of one"
+        )
+    return read_number(section, "probe", DEFAULT_PROBE_INTERVAL_SECONDS, MIN_PROBE_INTERVAL_SECONDS)
 
 
 def read_local_address(raw: Mapping) -> str:
-    """Return the local address of outgoing connections; empty: the system's choice."""
+    """Return the source address of outgoing connections, or an empty string for the system's choice."""
     value = raw.get("local_address", "")
     try:
         return str(ipaddress.IPv4Address(value)) if value != "" else ""
@@ -129,18 +139,18 @@
         raise ConfigError(f"local_address: an IPv4 address is needed, not {value!r}") from None
 
 
-def read_log_form(raw: Mapping, environ: Mapping[str, str]) -> bool:
-    """Return whether events are logged as JSON."""
-    form = environ.get("BALANCER_LOG") or raw.get("log", "console")
-    if form not in LOG_FORMS:
-        raise ConfigError(f"log: console or json is needed, not {form!r}")
-    if form == "json" and find_spec("structlog") is None:
+def read_json_log(raw: Mapping, environ: Mapping[str, str]) -> bool:
+    """Return whether the log has JSON lines."""
+    log_format = environ.get("BALANCER_LOG") or raw.get("log", "console")
+    if log_format not in LOG_FORMATS:
+        raise ConfigError(f"log: console or json is needed, not {log_format!r}")
+    if log_format == "json" and find_spec("structlog") is None:
         raise ConfigError("log: structlog is missing: install the extra 'events'")
-    return form == "json"
+    return log_format == "json"
 
 
 def read_seed(raw: Mapping) -> int:
-    """Return the seed, which the file has in hex digits."""
+    """Return the seed, which is stated in hex digits."""
     try:
         return int(str(raw.get("seed", "0")), 16)
     except ValueError:
--- a/applevale/config/values.py
+++ b/applevale/config/values.py
@@ -1,4 +1,4 @@
-"""Checked values of the configuration file."""
+"""Functions that read and check single values of the configuration."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def read_address(text: object, key: str) -> Address:
-    """Return the address that HOST:PORT names.
+    """Return the address in the form HOST:PORT.
 
     Raises:
-        ConfigError: The text is none; it names `key`.
+        ConfigError: The text is not an address; the message begins with `key`.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
@@ -24,10 +24,10 @@
 
 
 def read_number(section: Mapping, key: str, default: float, minimum: float) -> float:
-    """Return the finite number under `key`, at least `minimum`.
+    """Return the finite number under `key`.
 
     Raises:
-        ConfigError: There is something else.
+        ConfigError: The value is not a finite number of at least `minimum`.
     """
     value = section.get(key, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
@@ -37,10 +37,10 @@
 
 
 def read_section(raw: Mapping, key: str) -> Mapping:
-    """Return the object under `key`, empty if there is none.
+    """Return the object under `key`, or an empty one if the key is absent.
 
     Raises:
-        ConfigError: There is something else.
+        ConfigError: The value is not an object.
     """
     value = raw.get(key, {})
     if not isinstance(value, dict):
@@ -49,11 +49,11 @@
 
 
 def reject_unknown_keys(section: Mapping, name: str, known_key: str) -> None:
-    """Check that a section has no key but one.
+    """Check that a section has no key other than `known_key`.
 
     Raises:
-        ConfigError: It has another.
+        ConfigError: The section has another key.
     """
     for key in section:
         if key != known_key:
-            raise ConfigError(f"{name}.{key}: unknown")
+            raise ConfigError(f"{name}.{key}: unknown; the only key here is {known_key}")
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Events on standard error: plain lines, JSON lines, and the limit of each kind in both forms."""
+"""Logging to standard error: plain lines, JSON lines, and the limit of each kind in both formats."""
 
 import io
 import json
@@ -7,7 +7,7 @@
 import pytest
 
 from applevale.config.model import ConfigError
-from applevale.config.sections import read_log_form
+from applevale.config.sections import read_json_log
 from applevale.observability import events
 
 
@@ -20,14 +20,14 @@
     events.use_console()
 
 
-def test_on_the_console_a_line_is_kind_and_text(clock, capsys):
+def test_a_plain_line_has_kind_and_text(clock, capsys):
     events.log_event("link", "lost", engine=3)
     events.emit_event("ready", ready=True)
     events.log_unlimited("listening", "x listens", port=1)
     assert capsys.readouterr().err == "link: lost\nx listens\n"
 
 
-def test_json_lines_hold_the_fields_the_monotonic_time_and_the_instance(clock, capsys):
+def test_a_json_line_has_fields_monotonic_time_and_instance(clock, capsys):
     events.use_json("n3")
     events.log_event("link", "lost", engine=3)
     events.emit_event("ready", ready=True)
@@ -38,9 +38,9 @@
     ]
 
 
-@pytest.mark.parametrize("form", ["console", "json"])
-def test_a_kind_has_five_lines_in_a_window_and_then_the_number_left_out(clock, capsys, form):
-    if form == "json":
+@pytest.mark.parametrize("log_format", ["console", "json"])
+def test_lines_over_the_limit_of_a_kind_are_dropped_and_their_number_is_logged(clock, capsys, log_format):
+    if log_format == "json":
         events.use_json("n")
     events.log_event("flood", "line 0")
     events.log_event("other", "one")
@@ -53,34 +53,34 @@
     assert "7 more lines were left out" in left_out and "later" in later
 
 
-def test_the_form_is_read_or_rejected(monkeypatch):
-    assert not read_log_form({}, {})
-    assert read_log_form({"log": "json"}, {}) and read_log_form({"log": "console"}, {"BALANCER_LOG": "json"})
+def test_an_unknown_log_format_or_json_without_structlog_is_rejected(monkeypatch):
+    assert not read_json_log({}, {})
+    assert read_json_log({"log": "json"}, {}) and read_json_log({"log": "console"}, {"BALANCER_LOG": "json"})
     with pytest.raises(ConfigError, match=r"^log: console or json is needed, not 'yaml'$"):
-        read_log_form({"log": "yaml"}, {})
+        read_json_log({"log": "yaml"}, {})
     monkeypatch.setattr("applevale.config.sections.find_spec", lambda name: None)
     with pytest.raises(ConfigError, match=r"^log: structlog is missing"):
-        read_log_form({"log": "json"}, {})
+        read_json_log({"log": "json"}, {})
 
 
 class ReentrantStream(io.StringIO):
-    """Standard error in whose first write a garbage collection starts, and its callback logs."""
+    """Standard error whose first write logs another line, as the callback of a garbage collection may."""
 
-    has_collected = False
+    has_logged = False
 
     def write(self, text):
-        if not self.has_collected:
-            self.has_collected = True
+        if not self.has_logged:
+            self.has_logged = True
             events.log_event("loop", "collecting took long")
         return super().write(text)
 
 
-@pytest.mark.parametrize("form", ["console", "json"])
-def test_a_line_that_is_logged_within_a_write_follows_it(clock, monkeypatch, form):
-    """The callback of a collection may run within a write, and must not wait for its own thread's lock."""
+@pytest.mark.parametrize("log_format", ["console", "json"])
+def test_a_line_that_is_logged_during_a_write_is_written_after_it(clock, monkeypatch, log_format):
+    """A garbage collection may start during a write, and its callback logs; the thread must not deadlock."""
     stream = ReentrantStream()
     monkeypatch.setattr(events.sys, "stderr", stream)
-    if form == "json":
+    if log_format == "json":
         events.use_json("n")
     writer = threading.Thread(target=events.log_event, args=("link", "lost"), daemon=True)
     writer.start()
