--- a/applevale/__main__.py
+++ b/applevale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m applevale`: the real workload manager."""
+"""Entry point of the workload manager: `python -m applevale`."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def main() -> int:
-    """Run the program; return its exit code."""
-    early_signals = _keep_early_signals()
+    """Run the program and return its exit code."""
+    early_signals = _collect_early_signals()
 
     import uvloop
 
@@ -37,10 +37,11 @@
     return 0
 
 
-def _keep_early_signals() -> set[int]:
-    """Collect the signals that come before the event loop runs; by default either would end the process.
+def _collect_early_signals() -> set[int]:
+    """Return a set to which SIGHUP and SIGUSR1 are added when they arrive before the event loop runs.
 
-    A reload is kept for later; before these handlers the configuration has not been read yet.
+    By default either signal would end the process. The handlers are installed before the configuration is
+    read, so that no request to reload it is lost.
     """
     early_signals: set[int] = set()
     for number in (signal.SIGHUP, signal.SIGUSR1):
--- a/applevale/config/model.py
+++ b/applevale/config/model.py
@@ -25,10 +25,10 @@
         feed: The address of the control feed; without one the engine list stays as in `known`.
         seed: The seed of all random draws.
         sockets: The most file descriptors that the process may have open.
-        memory_bytes: The most memory that the process may use.
+        memory_bytes: The memory that the process is given.
         settings: The settings of the decision module.
         connection_limits: The limits of connections to engines.
-        names: The names of zones and machine kinds, by which the engine list refers to them.
+        names: The names of zones and machine kinds, in the order of their indices.
         known: The updates of the engine list that are known at the start.
         peers: The addresses of the other instances; without them no datagrams are exchanged.
         registry: The settings of the key-value registry; without them the engine list comes from the feed.
--- a/applevale/runtime/__init__.py
+++ b/applevale/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Start, wiring, reload and shutdown of the program."""
+"""Startup, wiring, configuration reload and shutdown of the program."""
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one workload manager together and routes changes among them."""
+"""Creates the components of one workload manager and propagates changes between them."""
 
 from __future__ import annotations
 
@@ -35,19 +35,25 @@
     from ..membership.runner import MembershipRunner
     from ..net.datagrams import DatagramSocket
 
-COUNTERS_INTERVAL_SECONDS = 5.0  # between two lines of counters: a killed process prints none at its end
-CLIENT_MEMORY_SHARE = 0.125  # of the memory, for messages and answers of clients
+# Counters are logged at this interval, because a process that is killed cannot log them at its exit.
+COUNTERS_LOG_INTERVAL_SECONDS = 5.0
+CLIENT_BUFFER_MEMORY_SHARE = 0.125  # the share of the memory for messages from and responses to clients
 
 
 class Application:
-    """The parts of one workload manager, and what happens between them.
+    """The components of one workload manager, and the changes that pass between them.
 
-    The parts are created in the order in which they depend on each other. What one of them causes in a part
-    that is created after it goes through a method of this class.
+    Each component is created after those it depends on. To affect a component that is created later, a
+    component calls a method of this class.
     """
 
     def __init__(self, config: Config, listen_address: Address):
-        """Build all parts; `listen_address` is the real one, where the configuration leaves the port open."""
+        """Create all components.
+
+        Args:
+            config: The configuration.
+            listen_address: The bound address; its port may have been chosen by the system.
+        """
         self.config = config
         self.counters = Counters()
         self.clock = UnixClock()
@@ -94,9 +100,9 @@
         return Metrics(tuple(spec.name for spec in self.config.settings.classes), gauges)
 
     def _count_disabled_engines(self) -> int:
-        """Count listed engines that are ejected, by hand or by the decision module."""
-        ejected = self.ejection_control.ejections.ejected | self.driver.outlier_engines()
-        return len(ejected & self.pool.listed_engines())
+        """Return the number of listed engines that are ejected, manually or as outliers."""
+        ejected_engines = self.ejection_control.ejections.ejected | self.driver.outlier_engines()
+        return len(ejected_engines & self.pool.listed_engines())
 
     def _create_load_report_sender(self, controller: AdmissionController) -> LoadReportSender | None:
         if not optional_parts.needs_gossip(self.config, controller):
@@ -122,12 +128,12 @@
         return RequestHandler(self.driver, self.pool, self.config.settings, self.counters, on_dispatch)
 
     def _create_server(self) -> RpcServer:
-        memory = int(self.config.memory_bytes * CLIENT_MEMORY_SHARE)
+        buffer_memory = int(self.config.memory_bytes * CLIENT_BUFFER_MEMORY_SHARE)
         return RpcServer(
             self.handler,
             self.driver,
             self.config.settings,
-            ServerLimits(self.descriptors.clients, memory),
+            ServerLimits(self.descriptors.clients, buffer_memory),
             self.counters,
             metrics=self.metrics,
         )
@@ -143,31 +149,29 @@
 
     def _create_control_feed(self) -> ControlFeed:
         config = self.config
-        last_number = config.known[0].number - 1 if config.known else 0
-        return ControlFeed(last_number, config.names, self.counters, self.apply_update, config.feed)
+        last_update_number = config.known[0].number - 1 if config.known else 0
+        return ControlFeed(last_update_number, config.names, self.counters, self.apply_update, config.feed)
 
     def _open_datagrams(self) -> DatagramSocket:
         if self.datagrams is None:
             self.datagrams = optional_parts.create_datagrams(self.config, self.counters)
         return self.datagrams
 
-    # Changes in one part that others must follow.
-
     def is_serving(self) -> bool:
-        """Return whether new clients should be accepted."""
+        """Return whether the instance should report itself ready for new clients."""
         has_engines = self.config.registry is None or self.endpoints.has_usable_engine()
-        is_leaving = self.shutdown_requested.is_set()
-        return has_engines and not (is_leaving or self.endpoints.is_stale or self.server.is_draining)
+        is_shutting_down = self.shutdown_requested.is_set()
+        return has_engines and not (is_shutting_down or self.endpoints.is_stale or self.server.is_draining)
 
     def update_readiness(self) -> None:
-        """Report readiness to probes, operators and programs that follow the events, as it changes."""
+        """Update the readiness that probes and operators see, and emit an event if it has changed."""
         ready = self.is_serving()
         if ready != self.server.is_ready:
             emit_event("ready", ready=ready)
         self.server.is_ready = ready
 
     def apply_update(self, update: EndpointUpdate) -> None:
-        """Pass an update of the list to all parts that know engines, the decision module last."""
+        """Pass an update of the engine list to every component concerned, the decision module last."""
         self.ejection_control.ejections.add_endpoints(update.endpoints)
         self.pool.update(update)
         if self.load_report_sender is not None:
@@ -178,11 +182,14 @@
         self.update_readiness()
 
     def submit_engine_list(self, update: api.EngineList) -> None:
-        """Submit engines whose presented state has changed to the decision module."""
+        """Pass engines whose state has changed to the decision module."""
         self.driver.submit(update)
 
     def on_staleness_change(self, confirmed: bool) -> None:
-        """React to the registry's list being confirmed from now on, or no longer."""
+        """Start or stop work on engines as the registry's engine list becomes confirmed or stale.
+
+        Nothing happens if the configuration has the instance serve requests with a stale list.
+        """
         if self.config.registry.on_stale == "serve":
             return
         self.driver.submit(self.endpoints.set_confirmed(confirmed))
@@ -193,13 +200,13 @@
         self.update_readiness()
 
     def on_fleet_resize(self, size: int) -> None:
-        """Share the fleet's budgets by `size` instances from now on."""
+        """Divide the fleet's budgets among `size` instances from now on."""
         self.counters["share_of"] = size
         self.driver.submit(api.FleetSize(size))
         if self.connect_pacer is not None:
             self.connect_pacer.set_instance_count(size)
 
-    def dump_counters(self) -> None:
+    def log_counters(self) -> None:
         """Log all counters."""
         if self.registry is not None:
             self.registry.update_list_counters()
@@ -207,13 +214,13 @@
             self.membership.dump_state()
         self.counters.dump()
 
-    def dump_counters_regularly(self) -> None:
-        """Log all counters now and every few seconds."""
-        self.dump_counters()
-        asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_SECONDS, self.dump_counters_regularly)
+    def log_counters_periodically(self) -> None:
+        """Log all counters now and at regular intervals from now on."""
+        self.log_counters()
+        asyncio.get_running_loop().call_later(COUNTERS_LOG_INTERVAL_SECONDS, self.log_counters_periodically)
 
     def start(self) -> None:
-        """Follow the list of engines and the other instances."""
+        """Start following the engine list and exchanging datagrams with the other instances."""
         self.reloader.apply_known_endpoints(self.config.known)
         self.source.start()
         self.driver.start()
@@ -223,16 +230,16 @@
             self.membership.start()
 
     def leave(self) -> None:
-        """Refuse new clients, and tell the other instances."""
+        """Report the instance as not ready, and announce to the other members that it leaves."""
         self.update_readiness()
         if self.membership is not None:
             self.membership.leave()
 
     async def stop(self) -> None:
-        """Stop all parts; nothing is owed to a client any more."""
+        """Stop all components; every request must have been answered before."""
         self.driver.stop()
-        for part in (self.load_report_sender, self.membership, self.datagrams):
-            if part is not None:
-                part.stop()
+        for component in (self.load_report_sender, self.membership, self.datagrams):
+            if component is not None:
+                component.stop()
         await self.source.stop()
         self.counters.dump()
--- a/applevale/runtime/descriptor_budget.py
+++ b/applevale/runtime/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""How the file descriptors of the process are shared out."""
+"""Division of the process's file descriptors among the kinds of connections."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from ..admin.limits import MAX_CONCURRENT_REQUESTS
 from ..config.model import Config
 
-RESERVED_DESCRIPTORS = 32  # for the files, listeners, list and datagrams
+RESERVED_DESCRIPTORS = 32  # for files, listeners, the source of the engine list, and datagrams
 
 
 @dataclass(frozen=True)
 class DescriptorBudget:
-    """The most descriptors that each kind of connection may use.
+    """The most file descriptors that each kind of connection may use.
 
     Attributes:
-        clients: Half of all; one client may hold a third of them.
-        admin: Connections of operators.
-        engines: What is left beside the reserve.
+        clients: Connections of clients: half of all descriptors. One client may hold a third of these.
+        admin: Connections to the admin API.
+        engines: Connections to engines: the descriptors that neither the others nor the reserve take.
     """
 
     clients: int
@@ -26,7 +26,7 @@
 
     @classmethod
     def of(cls, config: Config) -> DescriptorBudget:
-        """Return the shares for a configuration."""
+        """Return the budget for a configuration."""
         clients = config.sockets // 2
         admin = 0 if config.admin_address is None else min(config.sockets // 8, MAX_CONCURRENT_REQUESTS)
         engines = max(1, config.sockets - clients - RESERVED_DESCRIPTORS - admin)
--- a/applevale/runtime/ejection_control.py
+++ b/applevale/runtime/ejection_control.py
@@ -1,4 +1,4 @@
-"""Carries out manual ejections of engines, by operators' calls or by another process of an upgrade."""
+"""Applies manual ejections of engines that operators request here or in the other process of an upgrade."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from ..net.addresses import Address
 from ..observability.counters import Counters
 
-POLL_INTERVAL_SECONDS = 0.1  # between two looks at what another process wrote
+POLL_INTERVAL_SECONDS = 0.1
 
 
 def ejection_path(listen_address: Address) -> str:
-    """Return the path of the file in which manual ejections reach the next process.
+    """Return the path of the file through which processes share manual ejections.
 
-    An upgrade starts the next process with the same $TMPDIR and address; the address in the name keeps
-    several workload managers apart that share a folder.
+    An upgrade starts the next process with the same $TMPDIR and address. The file name contains the address,
+    so that several workload managers can share a folder.
     """
     host, port = listen_address
     return os.path.join(tempfile.gettempdir(), f"applevale-bans-{host}-{port}.json")
 
 
 class EjectionControl:
-    """Owns the manual ejections of this process, and applies each change to pool and decision module."""
+    """Owns the manual ejections, and applies each change to the engine pool and the decision module."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         driver: EventLoopDriver,
         counters: Counters,
     ):
-        """Take over what a former process left in its file."""
+        """Load the ejections that another process has stored for this address."""
         self.endpoints = endpoints
         self.pool = pool
         self.driver = driver
@@ -47,20 +47,23 @@
         self.ejections = EjectionRegistry()
         self.store = EjectionStore(ejection_path(listen_address), self.ejections)
         self.store.refresh()
-        endpoints.ejected = self.ejections.ejected  # one set: the decision module sees every ejection at once
+        endpoints.ejected = self.ejections.ejected  # the same set object, so that changes apply at once
 
     def set_ejected(self, host: str, ejected: bool) -> bool:
-        """Eject an engine or let it back in; return False for an id that was never listed."""
+        """Eject an engine or end its ejection; return False if it was never listed."""
         engine = self.ejections.find(host)
         if engine is None:
             return False
         self._apply(self.store.set_ejected(engine, ejected, self.driver.now()))
         return True
 
-    def watch(self) -> None:
-        """Poll the file from now on: the other of two processes in an upgrade may get a call."""
+    def poll_periodically(self) -> None:
+        """Apply changes in the file now and at regular intervals.
+
+        In an upgrade either process may receive the operators' calls.
+        """
         self._apply(self.store.refresh())
-        asyncio.get_running_loop().call_later(POLL_INTERVAL_SECONDS, self.watch)
+        asyncio.get_running_loop().call_later(POLL_INTERVAL_SECONDS, self.poll_periodically)
 
     def _apply(self, engines: Iterable[int]) -> None:
         for engine in engines:
--- a/applevale/runtime/engine_activity.py
+++ b/applevale/runtime/engine_activity.py
@@ -1,4 +1,4 @@
-"""Passes the traffic with engines on to those that count or share it."""
+"""Forwards events of engine connections to the metrics and to the sender of load reports."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class EngineActivity(EngineObserver):
-    """Shares engines' load reports with the other instances, and counts written attempts."""
+    """Shares the load reports of engines with the other instances, and counts attempts sent to engines."""
 
     def __init__(self, metrics: Metrics, load_report_sender: LoadReportSender | None) -> None:
-        """Count with `metrics`; without a sender load reports are not shared."""
+        """Create an observer; without a sender load reports are not shared."""
         self._metrics = metrics
         self._load_report_sender = load_report_sender
 
     def on_load_report(self, engine_id: int, report: LoadReport) -> None:
-        """Share the load that an engine reported."""
+        """Share a load report of an engine."""
         if self._load_report_sender is not None:
             self._load_report_sender.on_engine_report(engine_id, report)
 
     def on_attempt_written(self, class_name: str) -> None:
-        """Count an attempt of a class."""
+        """Count an attempt that was written completely to a connection."""
         self._metrics.record_dispatch(class_name)
--- a/applevale/runtime/gc_tuning.py
+++ b/applevale/runtime/gc_tuning.py
@@ -1,4 +1,4 @@
-"""The garbage collector's settings for a process whose event loop must not stand still."""
+"""Settings of the garbage collector that keep its pauses of the event loop short."""
 
 from __future__ import annotations
 
@@ -7,37 +7,42 @@
 
 from ..observability.events import log_event
 
-LOGGED_PAUSE_SECONDS = 0.01  # a collection that takes longer is logged
-# Short and often: over 20,000 objects a collection took 40 to 60 ms. The old generation too: at one in
-# 1,000 it was never collected, and a run of 45 minutes ran out of memory.
-THRESHOLDS = (1_000, 8, 10)
+MIN_LOGGED_PAUSE_SECONDS = 0.01
+# Thresholds of the three generations. Collections must be frequent to be short: one over 20,000 objects took
+# 40 to 60 ms. The oldest generation must be collected too: with a threshold of 1,000 it never was, and a run
+# of 45 minutes ran out of memory.
+GENERATION_THRESHOLDS = (1_000, 8, 10)
 
 
 class PauseLogger:
-    """A callback of the collector that logs collections which held the event loop up."""
+    """A callback of the garbage collector that logs long collections, each of which blocks the event loop."""
 
     def __init__(self) -> None:
-        """Start with no collection under way."""
+        """Create a callback; no collection is in progress."""
         self.started_at = 0.0
 
     def __call__(self, phase: str, info: dict) -> None:
-        """Note the begin of a collection, or log one that took long."""
+        """Record the start of a collection, or log it at its end if it took long."""
         now = time.perf_counter()
         if phase == "start":
             self.started_at = now
             return
         duration = now - self.started_at
-        if duration > LOGGED_PAUSE_SECONDS:
-            log_event("loop", f"collecting generation {info['generation']} took {duration * 1000:.0f} ms")
+        if duration > MIN_LOGGED_PAUSE_SECONDS:
+            generation = info["generation"]
+            milliseconds = duration * 1000
+            log_event("loop", f"garbage collection of generation {generation} took {milliseconds:.0f} ms")
 
 
 def tune_garbage_collector() -> None:
-    """Exempt what exists now from collection, and collect the rest in short, frequent steps.
+    """Exempt all present objects from garbage collection, and have later ones collected in short steps.
 
-    A full collection stops the event loop, and a stopped loop looks like silent engines.
+    A full collection blocks the event loop, and during a long pause all engines seem not to respond.
     """
     gc.collect()
     gc.freeze()
-    gc.collect()  # of what is left, almost nothing: else the old ones wait until a quarter as many have come
-    gc.set_threshold(*THRESHOLDS)
+    # The oldest generation is not collected before the objects added to it exceed a quarter of those that the
+    # last full collection left. This one leaves almost none, so that the next is not delayed.
+    gc.collect()
+    gc.set_threshold(*GENERATION_THRESHOLDS)
     gc.callbacks.append(PauseLogger())
--- a/applevale/runtime/lifecycle.py
+++ b/applevale/runtime/lifecycle.py
@@ -1,4 +1,4 @@
-"""The program from its listening sockets to its exit."""
+"""The lifecycle of the program, from the opening of its listening sockets to its exit."""
 
 from __future__ import annotations
 
@@ -12,14 +12,20 @@
 from ..config.model import Config
 from ..observability.counters import Counters
 from ..observability.events import log_unlimited
-from .application import COUNTERS_INTERVAL_SECONDS, Application
+from .application import COUNTERS_LOG_INTERVAL_SECONDS, Application
 from .gc_tuning import tune_garbage_collector
 from .listeners import listen
 
 
 @dataclass(frozen=True)
 class StartRecord:
-    """What came before the event loop: signals, and the CPU seconds used up to two moments."""
+    """What happened in the process before the event loop ran.
+
+    Attributes:
+        early_signals: The signals that arrived.
+        imported_at: The CPU time of the process in seconds after all imports.
+        configured_at: The CPU time of the process in seconds after the configuration was read.
+    """
 
     early_signals: set[int]
     imported_at: float
@@ -30,7 +36,7 @@
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
     Raises:
-        OSError: An address to listen on cannot be used.
+        OSError: A listening socket cannot be bound to its address.
     """
     started_at = time.time()
     listener = listen(config.listen, shared=True)
@@ -40,9 +46,9 @@
     _install_signal_handlers(application)
     application.start()
     loop = asyncio.get_running_loop()
-    loop.call_later(COUNTERS_INTERVAL_SECONDS, application.dump_counters_regularly)
+    loop.call_later(COUNTERS_LOG_INTERVAL_SECONDS, application.log_counters_periodically)
     application.server.start(listener, started_at)
-    admin_task = None if admin_listener is None else _serve_operators(application, admin_listener)
+    admin_task = None if admin_listener is None else _start_admin_server(application, admin_listener)
     _finish_start(application, start)
     line = f"{config.name} listens on {host}:{port}"
     log_unlimited("listening", line, host=host, port=port, pid=os.getpid())
@@ -60,24 +66,24 @@
 
 def _install_signal_handlers(application: Application) -> None:
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGUSR1, application.dump_counters)
+    loop.add_signal_handler(signal.SIGUSR1, application.log_counters)
     loop.add_signal_handler(signal.SIGHUP, application.reloader.reload)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, application.shutdown_requested.set)
 
 
-def _serve_operators(application: Application, listener: socket.socket) -> asyncio.Task:
-    """Serve the operators' calls in a task of their own, and watch for ejections by another process."""
-    from ..admin.server import AdminServer  # its library costs memory and time at every start
+def _start_admin_server(application: Application, listener: socket.socket) -> asyncio.Task:
+    """Serve the admin API in a new task, and watch for ejections by another process."""
+    from ..admin.server import AdminServer  # imported only if used: its library costs memory and startup time
 
     server = AdminServer(application.operator_target, application.counters, application.descriptors.admin)
     task = asyncio.create_task(server.serve(listener))
-    application.ejection_control.watch()
+    application.ejection_control.poll_periodically()
     return task
 
 
 def _finish_start(application: Application, start: StartRecord) -> None:
-    """Tune the collector for the running process, and handle a reload that was asked for meanwhile."""
+    """Tune the garbage collector, count CPU time, and carry out a reload that was requested early."""
     tune_garbage_collector()
     _record_start(application.counters, start)
     if signal.SIGHUP in start.early_signals:
@@ -85,7 +91,10 @@
 
 
 def _record_start(counters: Counters, start: StartRecord) -> None:
-    """Count the CPU of the start by part; on a share of a core the wall clock could be any multiple of it."""
+    """Count the CPU time of each phase of the startup.
+
+    Wall time would not be comparable: a process with a share of a core may take any multiple of its CPU time.
+    """
     now = time.process_time()
     counters["start_imports_ms"] = round(start.imported_at * 1000)
     counters["start_configuration_ms"] = round((start.configured_at - start.imported_at) * 1000)
--- a/applevale/runtime/listeners.py
+++ b/applevale/runtime/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets."""
+"""Creation of listening sockets."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 def listen(address: Address, shared: bool) -> socket.socket:
     """Return a listening, non-blocking TCP socket.
 
-    With `shared` another process may listen on the same address: an upgrade starts a second process there,
-    and the kernel shares new connections out between the two until the old one closes its listener.
+    Args:
+        address: The address to listen on.
+        shared: Whether other processes may listen on the same address. An upgrade starts a second process
+            there, and the kernel distributes new connections between the two until the old one closes its
+            listener.
 
     Raises:
-        OSError: The address cannot be used.
+        OSError: The socket cannot be bound to the address.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/applevale/runtime/operator_target.py
+++ b/applevale/runtime/operator_target.py
@@ -1,4 +1,4 @@
-"""What operators' calls act on: readiness, metrics, manual ejections and the drain state."""
+"""The operations of the admin API on a running instance."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class OperatorTarget:
-    """The target of the operators' calls (`admin.routes.AdminTarget`) in a running instance."""
+    """Implements `admin.routes.AdminTarget` with the components of a running instance."""
 
     def __init__(
         self,
@@ -19,26 +19,33 @@
         ejection_control: EjectionControl,
         on_readiness_change: Callable[[], None],
     ):
-        """Act on these parts; `on_readiness_change` is called after a drain has begun or ended."""
+        """Create a target.
+
+        Args:
+            server: Has the readiness and the drain state.
+            metrics: The metrics to report.
+            ejection_control: Ejects engines.
+            on_readiness_change: Called after a drain has begun or ended.
+        """
         self._server = server
         self._metrics = metrics
         self._ejection_control = ejection_control
         self._on_readiness_change = on_readiness_change
 
     def is_ready(self) -> bool:
-        """Return whether new clients are accepted."""
+        """Return whether the instance is ready for new clients."""
         return self._server.is_ready
 
     def metrics_snapshot(self) -> dict:
-        """Return the metrics as one snapshot."""
+        """Return a snapshot of the metrics."""
         return self._metrics.snapshot()
 
     def disable_engine(self, host: str) -> bool:
-        """Eject an engine; return False for an id that was never listed."""
+        """Eject an engine; return False if it was never listed."""
         return self._ejection_control.set_ejected(host, True)
 
     def enable_engine(self, host: str) -> bool:
-        """Let an engine back in; return False for an id that was never listed."""
+        """End the ejection of an engine; return False if it was never listed."""
         return self._ejection_control.set_ejected(host, False)
 
     def drain(self) -> None:
--- a/applevale/runtime/optional_parts.py
+++ b/applevale/runtime/optional_parts.py
@@ -1,6 +1,6 @@
-"""Parts that only some configurations have.
+"""Factories of components that only some configurations have.
 
-Their modules and libraries are imported only where they are used: each costs memory and time at every start.
+Each function imports the modules and libraries it needs, because every import costs memory and startup time.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def create_router(config: Config, counters: Counters) -> api.Router | None:
-    """Return the router among zones; None without a zones file."""
+    """Return the router that distributes requests over zones, or None without a zones file."""
     if config.zones is None:
         return None
     from ..zones.zone_router import ZoneRouter
@@ -42,7 +42,7 @@
     submit: Callable[[api.EngineList], None],
     on_readiness_change: Callable[[], None],
 ) -> ConnectPacer | None:
-    """Return the pacer of connects to engines; None where the configuration names no rate."""
+    """Return the limiter of the rate of connects to engines, or None if no rate is configured."""
     if config.engine_connects is None:
         return None
     from ..engines.connect_pacer import ConnectPacer
@@ -53,7 +53,10 @@
 
 
 def needs_gossip(config: Config, controller: AdmissionController) -> bool:
-    """Return whether load reports are exchanged: where probing engines before each send is too expensive."""
+    """Return whether instances exchange load reports.
+
+    They do if it is too expensive to probe engines before each send.
+    """
     settings = config.settings
     if config.peers is None or config.peers.everyone is None:
         return False
@@ -61,7 +64,7 @@
 
 
 def create_datagrams(config: Config, counters: Counters) -> DatagramSocket:
-    """Return the one socket of all parts that exchange datagrams with other instances."""
+    """Return the socket that all components share to exchange datagrams with other instances."""
     from ..net.datagrams import DatagramSocket
 
     is_shared = config.membership is not None
@@ -83,7 +86,7 @@
 def create_load_report_receiver(
     sender: LoadReportSender, driver: EventLoopDriver, counters: Counters
 ) -> LoadReportReceiver:
-    """Return the receiver of the other instances' load reports, on the socket of the sender."""
+    """Return the receiver of load reports from the other instances, on the socket of the sender."""
     from ..gossip.exchange import LoadReportReceiver
 
     return LoadReportReceiver(sender.datagrams, sender.reports, driver, counters)
@@ -92,7 +95,7 @@
 def create_membership(
     config: Config, datagrams: DatagramSocket, counters: Counters, on_resize: Callable[[int], None]
 ) -> MembershipRunner:
-    """Return the membership of this instance in the fleet."""
+    """Return the runner of the membership protocol."""
     from ..membership.config import ProtocolConfig
     from ..membership.fleet_size import EffectiveFleetSize
     from ..membership.protocol import MembershipProtocol
@@ -110,7 +113,7 @@
     on_update: Callable[[EndpointUpdate], None],
     on_staleness_change: Callable[[bool], None],
 ) -> RegistrySource | None:
-    """Return the source of the list in a key-value registry; None where the control feed is followed."""
+    """Return the source of the engine list in a registry, or None if the control feed is the source."""
     if config.registry is None:
         return None
     from ..discovery.registry.source import RegistrySource
--- a/applevale/runtime/reload.py
+++ b/applevale/runtime/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration on SIGHUP."""
+"""Reload of the configuration at a SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from ..observability.counters import Counters
 from ..observability.events import log_event
 
-# Fields of `Config` that a running process keeps, and the names under which the log has them.
-FIXED_FIELDS = {
+# Fields of `Config` that take effect only at the start of a process, and their names in log lines.
+START_ONLY_FIELDS = {
     "listen": "listen",
     "sockets": "sockets",
     "memory_bytes": "memory",
@@ -22,15 +22,15 @@
     "connection_limits": "links",
     "zones": "zones",
 }
-# Fields that must be the same, for a configuration of the same instance.
+# Fields of `Config` that must not change, because they identify the instance, and their names in log lines.
 IDENTITY_FIELDS = {"name": "name", "names": "names"}
 
 
 class ConfigReloader:
-    """Takes over a new configuration, or keeps the old one as it is.
+    """Applies a new configuration to the running process, or rejects it as a whole.
 
-    Only where the list of engines comes from, and what is known of it, changes in a running process. The
-    other keys take effect at the next start, which a line in the log states.
+    Only the source of the engine list and its known updates change in a running process. A log line names
+    changed keys that take effect at the next start.
     """
 
     def __init__(
@@ -43,15 +43,15 @@
         counters: Counters,
         load: Callable[[], Config] = load_config,
     ):
-        """Compare new configurations with `config`, the one of the start.
+        """Create a reloader.
 
         Args:
-            config: The configuration of the start.
-            source: Where the list of engines comes from.
-            control_feed: Takes what a configuration knows of the list.
-            metrics: Counts reloads for operators.
-            counters: Counts reloads.
-            load: Reads the configuration again.
+            config: The configuration with which the process was started.
+            source: The source of the engine list.
+            control_feed: Publishes the known updates of a configuration.
+            metrics: Counts successful and failed reloads.
+            counters: Counts successful reloads.
+            load: Reads the new configuration.
         """
         self.config = config
         self.source = source
@@ -61,7 +61,7 @@
         self.load = load
 
     def reload(self) -> None:
-        """Read the configuration again and apply it; on any error log one line and change nothing."""
+        """Read the configuration again and apply it; log an invalid one and change nothing."""
         try:
             config = self.load()
             self._check_identity(config)
@@ -72,35 +72,39 @@
         self.counters["reloads"] += 1
         self.metrics.record_reload(True)
         self.apply_known_endpoints(config.known)
-        self._move_source(config)
-        fixed = self._changed_names(FIXED_FIELDS, config)
-        if fixed:
-            log_event("reload", f"takes effect at the next start only: {', '.join(fixed)}")
+        self._reconfigure_source(config)
+        pending = self._changed_names(START_ONLY_FIELDS, config)
+        if pending:
+            log_event("reload", f"takes effect at the next start only: {', '.join(pending)}")
 
     def apply_known_endpoints(self, known: tuple[EndpointUpdate, ...]) -> None:
-        """Apply what a configuration knows of the list, beyond what was applied already."""
+        """Apply the known updates of the engine list that were not applied before."""
         try:
-            for change in known:
-                self.control_feed.apply(change)
-        except FeedError as error:  # a gap: the feed will send what lies in it
+            for update in known:
+                self.control_feed.apply(update)
+        except FeedError as error:  # updates between them are missing; the feed will send those
             log_event("reload", f"known: {error}")
 
     def _check_identity(self, config: Config) -> None:
-        """Refuse a configuration of another instance, or with other zones and kinds.
+        """Reject a configuration of another instance, or one with other zones or machine kinds.
 
-        Known engines and the new source refer to zones and kinds by their positions.
+        The engines listed so far and the updates to come refer to zones and kinds by index.
+
+        Raises:
+            ConfigError: A field that must not change has changed.
         """
         changed = self._changed_names(IDENTITY_FIELDS, config)
         if changed:
             raise ConfigError(f"another one's {', '.join(changed)}")
 
     def _changed_names(self, fields: Mapping[str, str], config: Config) -> list[str]:
-        """Return the log's names of those fields that differ from the configuration of the start."""
+        """Return the names in log lines of those fields that differ from the configuration of the start."""
         return [
             name for field, name in fields.items() if getattr(config, field) != getattr(self.config, field)
         ]
 
-    def _move_source(self, config: Config) -> None:
+    def _reconfigure_source(self, config: Config) -> None:
+        """Have the engine list follow the registry or feed of a new configuration."""
         uses_registry = self.config.registry is not None
         if (config.registry is not None) != uses_registry:
             log_event("reload", "takes effect at the next start only: registry")
@@ -108,4 +112,4 @@
         try:
             self.source.reconfigure(config.registry if uses_registry else config.feed)
         except ValueError as error:
-            log_event("reload", f"the list is followed as before: {error}")
+            log_event("reload", f"the source of the engine list stays as before: {error}")
--- a/applevale/runtime/shutdown.py
+++ b/applevale/runtime/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after SIGTERM."""
+"""Graceful shutdown at a SIGTERM."""
 
 from __future__ import annotations
 
@@ -9,48 +9,59 @@
 from ..requests.handler import RequestHandler
 from ..server.listener import RpcServer
 
-ACCEPT_SECONDS = 0.75  # after SIGTERM for which clients may still come
-# After SIGTERM the process may be killed once MAX_DRAIN_SECONDS, or the longest deadline if that is less, and
-# KILL_GRACE_SECONDS are over.
+ACCEPT_SECONDS = 0.75  # new connections are accepted for this long after SIGTERM
+# The platform may kill the process once the longest deadline of a request class, or MAX_DRAIN_SECONDS if that is
+# less, and KILL_GRACE_SECONDS have passed since SIGTERM.
 MAX_DRAIN_SECONDS = 3.0
 KILL_GRACE_SECONDS = 0.7
-FINAL_ANSWER_SECONDS = 0.3  # before that time, when all that is open gets its answer
-REJECT_NEW_SECONDS = 0.4  # before the final answers, from when on new requests are rejected
-DRAIN_POLL_SECONDS = 0.02
-FINAL_POLL_SECONDS = 0.01
+FINAL_RESPONSE_SECONDS = 0.3  # all open requests get a response this long before the process may be killed
+REJECT_NEW_SECONDS = 0.4  # new requests are rejected from this long before those final responses
+DRAIN_POLL_INTERVAL_SECONDS = 0.02
+FINAL_POLL_INTERVAL_SECONDS = 0.01
 
 
 class GracefulShutdown:
-    """Answers what comes until a moment after SIGTERM, and ends before the process would be killed."""
+    """Completes the requests in progress, and ends before the platform would kill the process.
+
+    Attributes:
+        final_response_delay: Seconds from SIGTERM until all open requests get a response.
+    """
 
     def __init__(
         self, server: RpcServer, handler: RequestHandler, driver: EventLoopDriver, settings: Settings
     ):
-        """Take the parts that are shut down; the settings have the longest deadline."""
+        """Create the shutdown of these components; the settings state the deadlines of request classes."""
         self.server = server
         self.handler = handler
         self.driver = driver
         longest_deadline = max(spec.deadline for spec in settings.classes)
-        lifetime = min(MAX_DRAIN_SECONDS, longest_deadline) + KILL_GRACE_SECONDS
-        self.final_answer_after = lifetime - FINAL_ANSWER_SECONDS  # s after SIGTERM
+        time_to_kill = min(MAX_DRAIN_SECONDS, longest_deadline) + KILL_GRACE_SECONDS
+        self.final_response_delay = time_to_kill - FINAL_RESPONSE_SECONDS
 
     async def run(self, started_at: float) -> None:
-        """Drain; `started_at` is the time of SIGTERM by the event loop's clock."""
+        """Stop accepting connections, and wait until all requests have a response or time is up.
+
+        Args:
+            started_at: The time of SIGTERM by the event loop's clock.
+        """
         loop = asyncio.get_running_loop()
-        final_answer_at = started_at + self.final_answer_after
-        self.handler.set_shutdown_deadline(self.driver.now() + self.final_answer_after)
+        final_response_at = started_at + self.final_response_delay
+        self.handler.set_shutdown_deadline(self.driver.now() + self.final_response_delay)
         await asyncio.sleep(started_at + ACCEPT_SECONDS - loop.time())
         self.server.stop_accepting()
-        # A request on a kept connection that is read just before the exit would get no answer, so none may
-        # come then. Until shortly before, new requests are decided on with the time there is: short work
-        # still has its answer.
-        self.server.drain(final_answer_at - REJECT_NEW_SECONDS - loop.time())
-        while self._is_busy() and loop.time() < final_answer_at:
-            await asyncio.sleep(DRAIN_POLL_SECONDS)
+        # A request that is read from an open connection just before the exit would get no response, so new
+        # requests are rejected shortly before the final responses. Until then they are handled, because the
+        # time left is enough for short ones.
+        self.server.drain(final_response_at - REJECT_NEW_SECONDS - loop.time())
+        while self._is_busy() and loop.time() < final_response_at:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
         self.handler.finish_all()
-        while self._is_busy() and loop.time() < final_answer_at + FINAL_ANSWER_SECONDS / 2:
-            await asyncio.sleep(FINAL_POLL_SECONDS)
+        while self._is_busy() and loop.time() < final_response_at + FINAL_RESPONSE_SECONDS / 2:
+            await asyncio.sleep(FINAL_POLL_INTERVAL_SECONDS)
 
     def _is_busy(self) -> bool:
-        """Return whether an answer is owed, or a client has yet to end the message that it began."""
+        """Return whether a request is open, or a client has sent only a part of a message.
+
+        The drain closes all other connections.
+        """
         return bool(self.server.open_requests or self.server.connections)
