--- a/applevale/admin/__init__.py
+++ b/applevale/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Administration: the HTTP API of operators, metrics, manual ejections of engines, and draining."""
+"""Administration: the HTTP admin API, metrics, manual ejections of engines, and draining."""
--- a/applevale/admin/draining.py
+++ b/applevale/admin/draining.py
@@ -1,8 +1,8 @@
-"""The state of a drain: which requests are rejected and which connections are closed while it lasts.
+"""The state of a drain, which makes clients move to other instances.
 
-A drain sends clients to other instances. It never interrupts work in progress, and lasts until it is ended,
-however often it is begun. The module does no I/O and reads no clock; all times are event loop times in
-seconds.
+During a drain new requests are rejected and idle connections are closed; work in progress is not interrupted.
+A single `end` ends a drain, however often it was begun. The module does no I/O and reads no clock; all times
+are in seconds by the event loop's clock.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 from dataclasses import dataclass
 from math import inf
 
-# Requests are still accepted for this long after an operator's call. By 4 s after the call no connection may
-# be held that carried a request in the last 2 s; without this bound a client whose requests overlap would
-# never leave its connection idle.
+# New requests are accepted for this long after an operator begins a drain. From 4 s on no connection may be
+# open that had a request in the last 2 s; without this limit, overlapping requests could keep a connection
+# busy forever.
 ACCEPT_SECONDS = 1.75
-# The first request of a new connection may be in transit for this long.
+# The first request on a new connection may be in transit for this long.
 FIRST_REQUEST_GRACE_SECONDS = 0.25
 
 
 @dataclass
 class DrainState:
-    """Whether a drain is in progress, and what it closes and rejects.
+    """Decides which requests a drain rejects and which connections it closes.
 
     Attributes:
-        reject_from: Time from which new requests are rejected; infinite while there is no drain.
+        reject_from: The time from which new requests are rejected; infinite without a drain.
     """
 
     reject_from: float = inf
@@ -34,7 +34,7 @@
         return self.reject_from < inf
 
     def begin(self, reject_from: float) -> None:
-        """Begin a drain; of several calls the earliest time holds."""
+        """Begin a drain, or keep the one in progress; the earliest `reject_from` of all calls applies."""
         self.reject_from = min(self.reject_from, reject_from)
 
     def end(self) -> None:
@@ -42,18 +42,18 @@
         self.reject_from = inf
 
     def rejects_requests(self, now: float) -> bool:
-        """Return whether a request that arrives now is rejected at once."""
+        """Return whether a request that arrives now is rejected."""
         return now >= self.reject_from
 
     def may_close(self, has_open_work: bool, has_unread_input: bool) -> bool:
         """Return whether a connection is to be closed.
 
         Args:
-            has_open_work: A response on the connection is not complete.
-            has_unread_input: The client has begun to send a request.
+            has_open_work: Whether a response on the connection is incomplete.
+            has_unread_input: Whether the client has begun to send a request.
         """
         return self.is_active and not (has_open_work or has_unread_input)
 
     def first_request_wait(self, accepted_at: float, now: float) -> float:
-        """Return the seconds that a connection without a request is still left open."""
+        """Return for how many more seconds a connection without any request stays open."""
         return max(0.0, accepted_at + FIRST_REQUEST_GRACE_SECONDS - now)
--- a/applevale/admin/ejection_codec.py
+++ b/applevale/admin/ejection_codec.py
@@ -1,6 +1,6 @@
-"""The stored form of manual ejections: JSON with a checksum.
+"""The file format of manual ejections: JSON with a checksum.
 
-A file is decoded completely or rejected. The module does no I/O.
+A file is either decoded completely or rejected. The module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from .ejections import EjectionEntry
 
 FORMAT_VERSION = 2
-MAX_QUOTED_CHARACTERS = 40  # of a bad value, in an error
+MAX_QUOTED_CHARACTERS = 40  # longer values are truncated in error messages
 
 
 class EjectionFileError(ValueError):
-    """The data is truncated, was altered, or is not of the supported format version."""
+    """The data is truncated or altered, or has an unsupported format version."""
 
 
 def encode(entries: Mapping[int, EjectionEntry]) -> bytes:
-    """Return the stored form of the entries."""
-    words = {
+    """Return the content of a file with these entries."""
+    stored_entries = {
         format_instance_id(engine): [entry.updated_at, entry.ejected]
         for engine, entry in sorted(entries.items())
     }
-    body = json.dumps({"form": FORMAT_VERSION, "words": words}, separators=(",", ":"))
+    body = json.dumps({"form": FORMAT_VERSION, "words": stored_entries}, separators=(",", ":"))
     return json.dumps({"body": body, "sha256": _checksum(body)}).encode() + b"\n"
 
 
 def decode(data: bytes) -> dict[int, EjectionEntry]:
-    """Return the entries in data that `encode` made.
+    """Return the entries in the content of a file.
 
     Raises:
-        EjectionFileError: The data cannot be trusted; the message names the cause.
+        EjectionFileError: The content is invalid; the message names the cause.
     """
     try:
         return _decode_document(json.loads(data))
@@ -52,10 +52,10 @@
 def _decode_document(document: dict) -> dict[int, EjectionEntry]:
     body = document["body"]
     if _checksum(body) != document["sha256"]:
-        raise EjectionFileError("sha256: the file is truncated or was altered")
+        raise EjectionFileError("sha256: does not match; the file is truncated or was altered")
     content = json.loads(body)
     if content["form"] != FORMAT_VERSION:
-        raise EjectionFileError(f"form: {content['form']!r} is not {FORMAT_VERSION}")
+        raise EjectionFileError(f"form: version {FORMAT_VERSION} is needed, not {content['form']!r}")
     entries = {}
     for name, fields in content["words"].items():
         engine = parse_instance_id(name)
@@ -67,5 +67,5 @@
     is_time = isinstance(updated_at, float | int) and isfinite(updated_at)
     if not is_time or not isinstance(ejected, bool):
         quoted = str([updated_at, ejected])[:MAX_QUOTED_CHARACTERS]
-        raise ValueError(f"not a time and a flag: {quoted}")
+        raise ValueError(f"words: a pair of time and flag is needed, not {quoted}")
     return EjectionEntry(float(updated_at), ejected)
--- a/applevale/admin/ejection_store.py
+++ b/applevale/admin/ejection_store.py
@@ -1,8 +1,8 @@
 """The file through which processes share manual ejections.
 
-An upgrade runs two processes side by side, and a restart leaves the file to the next one. The file is
-replaced atomically. A file that cannot be trusted is logged and changes nothing. Whichever process wrote
-last, the registries of all processes and the file converge to the same entries.
+The file connects the two processes of an upgrade, and outlives a restart. It is replaced atomically. An
+invalid file is logged and changes nothing. In whatever order processes write, the file and the registries of
+all processes converge to the same entries.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class FileVersion:
-    """What tells one written file from the next at the same path."""
+    """Identifies one state of the file: every write results in another version."""
 
     inode: int
     modified_ns: int
@@ -25,24 +25,24 @@
 
     @classmethod
     def of(cls, status: os.stat_result) -> FileVersion:
-        """Return the version that a file status shows."""
+        """Return the version of the file that has this status."""
         return cls(status.st_ino, status.st_mtime_ns, status.st_size)
 
 
 class EjectionStore:
-    """Keeps an ejection registry and its file in step."""
+    """Synchronizes an ejection registry with its file."""
 
     def __init__(self, path: str, registry: EjectionRegistry) -> None:
         """Create a store for the file at `path`; nothing is read or written yet."""
         self.path = path
         self.registry = registry
-        self._known_version: FileVersion | None = None  # of the file that was read or written last
+        self._known_version: FileVersion | None = None  # the version that was read or written last
 
     def refresh(self) -> list[int]:
-        """Merge what another process wrote since the last call.
+        """Merge the entries that another process has written since the last call.
 
         Returns:
-            The engines whose state changes.
+            The engines whose state has changed.
         """
         try:
             version = FileVersion.of(os.stat(self.path))
@@ -55,12 +55,12 @@
         if entries is None:
             return []
         changed = self.registry.merge(entries)
-        if entries != self.registry.entries:  # another process replaced entries that it had not read
+        if entries != self.registry.entries:  # another process has overwritten entries without reading them
             self.save()
         return changed
 
     def set_ejected(self, engine: int, ejected: bool, now: float) -> list[int]:
-        """Eject an engine or let it back in, on top of what the file holds by now.
+        """Eject an engine or end its ejection, after merging the present content of the file.
 
         Args:
             engine: The engine.
@@ -68,7 +68,7 @@
             now: Unix time in seconds.
 
         Returns:
-            The engines whose state changes, also by entries of other processes.
+            The engines whose state has changed, including changes by other processes.
         """
         changed = self.refresh()
         if self.registry.set_ejected(engine, ejected, now):
@@ -78,13 +78,13 @@
         return changed
 
     def save(self) -> None:
-        """Replace the file by the entries of the registry; a failure is logged."""
-        temporary_path = f"{self.path}.{os.getpid()}"  # one for each process: two may write at once
+        """Replace the file by the entries of the registry; log a failure."""
+        temporary_path = f"{self.path}.{os.getpid()}"  # unique, because two processes may write at once
         try:
             with open(temporary_path, "wb") as file:
                 file.write(encode(self.registry.entries))
                 file.flush()
-                # Of this very file: the path may be another process's in a moment.
+                # Not `os.stat` of the path: another process may replace the file there at any time.
                 version = FileVersion.of(os.fstat(file.fileno()))
             os.replace(temporary_path, self.path)
         except OSError as error:
@@ -98,5 +98,5 @@
                 return decode(file.read())
         except (OSError, EjectionFileError) as error:
             count = len(self.registry.ejected)
-            log_event("bans", f"{self.path}: {error}; the ejections of this process stay: {count}")
+            log_event("bans", f"{self.path}: {error}; this process keeps its {count} ejections")
             return None
--- a/applevale/admin/ejections.py
+++ b/applevale/admin/ejections.py
@@ -1,6 +1,6 @@
-"""The engines that operators have ejected by hand.
+"""The engines that operators have ejected manually.
 
-Each engine has at most one entry, a last-writer-wins register: the entry with the later time holds, and at
+Each engine has at most one entry, a last-writer-wins register: the entry with the later time wins, and at
 equal times the ejection. Merging is commutative and idempotent, so processes that merge each other's entries
 in any order end with the same ejected engines.
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, order=True)
 class EjectionEntry:
-    """The latest decision on one engine. Of two entries the greater one holds.
+    """The latest decision on one engine; of two entries the greater one wins.
 
     Attributes:
         updated_at: Unix time of the decision in seconds.
@@ -33,37 +33,37 @@
 class EjectionRegistry:
     """The entries of all engines, and the ejected engines that follow from them.
 
-    An engine stays ejected from the first ejection until it is let back in, however often either is asked
-    for. Ejections outlive the endpoint: an engine that is listed again is still ejected.
+    Repeated ejections of an engine have no further effect, and one call ends them. An engine that is removed
+    from the engine list and listed again is still ejected.
 
     Attributes:
-        entries: The entry that holds for each engine.
-        ejected: The ejected engines. One set object for the registry's lifetime: others keep a reference.
+        entries: The winning entry of each engine.
+        ejected: The ejected engines. The set object stays the same, because others keep a reference to it.
     """
 
     def __init__(self) -> None:
         """Create a registry without entries."""
         self.entries: dict[int, EjectionEntry] = {}
         self.ejected: set[int] = set()
-        self._engines_by_name: dict[str, int] = {}  # instance ids and HOST:PORT, also of former endpoints
+        self._engines_by_name: dict[str, int] = {}  # by instance id and HOST:PORT; former endpoints stay
 
     def add_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
-        """Make endpoints known by their instance id and by their HOST:PORT."""
+        """Register endpoints, so that `find` knows them by instance id and HOST:PORT."""
         for endpoint in endpoints:
             engine = endpoint.entry.engine
             self._engines_by_name[format_instance_id(engine)] = engine
             self._engines_by_name[format_address(endpoint.address)] = engine
 
     def find(self, name: str) -> int | None:
-        """Return the engine with an instance id or HOST:PORT, or None for one that was never listed."""
+        """Return the engine with an instance id or HOST:PORT, or None if none was ever listed with it."""
         if not isinstance(name, str):
             return None
         return self._engines_by_name.get(name.strip().lower())
 
     def set_ejected(self, engine: int, ejected: bool, now: float) -> bool:
-        """Eject an engine or let it back in.
+        """Eject an engine or end its ejection.
 
-        The new entry supersedes the present one even if that came from a process whose clock is ahead.
+        The new entry wins over the present one even if that came from a process whose clock is ahead.
 
         Args:
             engine: The engine.
@@ -71,7 +71,7 @@
             now: Unix time in seconds.
 
         Returns:
-            Whether this changes the state of the engine.
+            Whether the state of the engine has changed.
         """
         present = self.entries.get(engine)
         updated_at = now
@@ -80,7 +80,7 @@
         return self._apply(engine, EjectionEntry(updated_at, ejected))
 
     def merge(self, entries: Mapping[int, EjectionEntry]) -> list[int]:
-        """Merge the entries of another process and return the engines whose state changes."""
+        """Merge the entries of another process and return the engines whose state has changed."""
         changed = []
         for engine, entry in entries.items():
             present = self.entries.get(engine)
@@ -92,9 +92,8 @@
 
     def _apply(self, engine: int, entry: EjectionEntry) -> bool:
         self.entries[engine] = entry
-        self._engines_by_name.setdefault(
-            format_instance_id(engine), engine
-        )  # the other process had it listed
+        # Only the other process may have had the engine listed.
+        self._engines_by_name.setdefault(format_instance_id(engine), engine)
         was_ejected = engine in self.ejected
         if entry.ejected:
             self.ejected.add(engine)
--- a/applevale/admin/http_codec.py
+++ b/applevale/admin/http_codec.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request and its response, parsed and serialized by h11. No I/O."""
+"""Parsing of one HTTP/1.1 request and serialization of its response, with h11. The module does no I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A complete request."""
+    """A complete HTTP request."""
 
     method: str
     target: str
@@ -32,8 +32,8 @@
 
     Attributes:
         status: The HTTP status of the response.
-        field: The part of the request at fault.
-        method: The method of the request; empty if it is not known.
+        field: The invalid part of the request.
+        method: The method of the request; empty if it is unknown.
     """
 
     def __init__(self, status: int, message: str, field: str, method: str = "") -> None:
@@ -45,7 +45,7 @@
 
 
 class HttpExchange:
-    """The server's side of one request and its response."""
+    """The server side of one request and its response."""
 
     def __init__(self) -> None:
         """Create an exchange that has received nothing yet."""
@@ -54,15 +54,15 @@
         self._body = bytearray()
 
     def receive(self, data: bytes) -> None:
-        """Add received bytes; empty data is the end of the stream."""
+        """Add received data; empty data marks the end of the stream."""
         self._codec.receive_data(data)
 
     def next_request(self) -> HttpRequest | None:
         """Return the request, or None if more data is needed.
 
         Raises:
-            ClientDisconnectedError: The stream ended before a request.
-            MalformedRequestError: The data is not HTTP or exceeds a limit; it can be responded to once.
+            ClientDisconnectedError: The stream ended before the request was complete.
+            MalformedRequestError: The data is not HTTP or exceeds a limit; one response can be sent.
         """
         try:
             while True:
@@ -78,7 +78,7 @@
             raise _malformed(error) from None
 
     def serialize(self, response: AdminResponse, method: str) -> bytes:
-        """Return the bytes of the response to a request with `method`; the exchange then is over.
+        """Return the bytes of the response to a request with `method`, which ends the exchange.
 
         A response to HEAD has no body.
         """
@@ -118,7 +118,7 @@
 
 
 def _declared_body_size(request: h11.Request) -> int:
-    """Return the content length of a request, 0 without one."""
+    """Return the content length that a request declares, or 0 if it declares none."""
     declared = dict(request.headers).get(b"content-length", b"0")
     return int(declared) if declared.isdigit() else 0
 
--- a/applevale/admin/metrics.py
+++ b/applevale/admin/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics that operators read: counters updated where each event happens, and gauges.
+"""The metrics that operators read: counters and gauges.
 
-Counters only grow from the start of the process. A snapshot reads counters and gauges at one moment and
-never walks requests or engines. The module does no I/O and reads no clock.
+Counters start at zero with the process and never decrease. A snapshot is consistent and does not iterate over
+requests or engines. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ResponseOutcome(StrEnum):
-    """How a request ended, as it is named in a snapshot."""
+    """The outcome of a request; the value is its name in a snapshot."""
 
     SUCCESS = "success"
     OVERLOAD = "overload"
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True)
 class Gauges:
-    """Functions that return present values.
+    """Functions that return current values.
 
     Attributes:
-        open_requests: The requests accepted and not yet answered.
-        engines: The listed engines.
-        disabled_engines: The listed engines that get no work, by hand or after failures.
+        open_requests: The number of accepted requests without a response.
+        engines: The number of listed engines.
+        disabled_engines: The number of listed engines that are ejected, manually or as outliers.
     """
 
     open_requests: Callable[[], int] = _zero
@@ -46,7 +46,7 @@
     dispatches: int = 0
 
     def snapshot(self) -> dict[str, int]:
-        """Return the counters by their name in a snapshot."""
+        """Return the counters by their names in a snapshot."""
         counts = {outcome.value: count for outcome, count in self.responses.items()}
         counts["dispatches"] = self.dispatches
         return counts
@@ -59,8 +59,8 @@
         """Create metrics with all counters at zero.
 
         Args:
-            class_names: The request classes, in the order of their index.
-            gauges: Where present values are read; without it they are zero.
+            class_names: The names of the request classes, in the order of their indices.
+            gauges: The sources of current values; by default they are zero.
         """
         self._class_names = class_names
         self._gauges = gauges or Gauges()
@@ -69,17 +69,17 @@
         self._reload_failures = 0
 
     def record_response(self, class_index: int, outcome: ResponseOutcome) -> None:
-        """Count a response that was handed to its connection."""
+        """Count a response that was passed to its connection."""
         self._classes[self._class_names[class_index]].responses[outcome] += 1
 
     def record_dispatch(self, class_name: str) -> None:
-        """Count an attempt that was sent completely to an engine; an unknown class counts nowhere."""
+        """Count an attempt that was sent completely to an engine; an unknown class is ignored."""
         counters = self._classes.get(class_name)
         if counters is not None:
             counters.dispatches += 1
 
     def record_reload(self, succeeded: bool) -> None:
-        """Count a reload of the configuration."""
+        """Count an attempt to reload the configuration."""
         if succeeded:
             self._reload_successes += 1
         else:
--- a/applevale/admin/routes.py
+++ b/applevale/admin/routes.py
@@ -1,7 +1,7 @@
-"""The routes of the admin API: what each request does, and its response.
+"""The routes of the admin API and their handlers.
 
-Every request gets one response. A request that is not valid changes no state, and its response names the
-field at fault. The module does no I/O and reads no clock.
+Every request gets exactly one response. An invalid request changes no state, and its response names the
+invalid field. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from http import HTTPStatus
 from typing import Protocol
 
-MAX_QUOTED_CHARACTERS = 80  # of a bad path or host, in an error
+MAX_QUOTED_CHARACTERS = 80  # longer paths and hosts are truncated in error messages
 
 
 @dataclass(frozen=True)
 class AdminResponse:
-    """An HTTP status and a JSON object.
+    """An HTTP status and a JSON object as the body.
 
-    The member `allow` of an error, where there is one, is also sent as the header of that name.
+    If the body has a member `allow`, it is also sent as the header of that name.
     """
 
     status: int
@@ -27,32 +27,32 @@
 
 
 class InvalidRequestError(ValueError):
-    """A request body that is not valid.
+    """The body of a request is invalid.
 
     Attributes:
-        field: The name of the field at fault.
+        field: The name of the invalid field.
     """
 
     def __init__(self, message: str, field: str) -> None:
-        """Create an error with its message and the name of the field at fault."""
+        """Create an error with a message and the name of the invalid field."""
         super().__init__(message)
         self.field = field
 
 
 class AdminTarget(Protocol):
-    """What the admin API works on: the application, as operators see it."""
+    """The operations of an instance that the admin API exposes."""
 
     def is_ready(self) -> bool:
-        """Return whether new clients are accepted."""
+        """Return whether the instance is ready for new clients."""
 
     def metrics_snapshot(self) -> dict:
         """Return the metrics as a JSON object."""
 
     def disable_engine(self, host: str) -> bool:
-        """Eject an engine, named by id or HOST:PORT; return False for one that was never listed."""
+        """Eject an engine, named by id or HOST:PORT; return False if it was never listed."""
 
     def enable_engine(self, host: str) -> bool:
-        """Let an engine back in; return False for one that was never listed."""
+        """End the ejection of an engine; return False if it was never listed."""
 
     def drain(self) -> None:
         """Begin a drain."""
@@ -61,19 +61,19 @@
         """End a drain."""
 
 
-Handler = Callable[[AdminTarget, bytes], AdminResponse]  # the target and the request's body
+Handler = Callable[[AdminTarget, bytes], AdminResponse]  # takes the target and the body of the request
 
 
 @dataclass(frozen=True)
 class Route:
-    """The method that a path takes, and its handler."""
+    """The HTTP method that a path accepts, and its handler."""
 
     method: str
     handler: Handler
 
 
 def dispatch(target: AdminTarget, method: str, path: str, body: bytes) -> AdminResponse:
-    """Carry out one request on the target and return its response; a query string is ignored."""
+    """Handle one request on the target and return its response; a query string is ignored."""
     path = path.split("?", 1)[0]
     route = ROUTES.get(path)
     if route is None:
@@ -88,7 +88,7 @@
 
 
 def error_response(status: int, message: str, field: str) -> AdminResponse:
-    """Return the response to a request with a field at fault."""
+    """Return the response to a request with an invalid field."""
     return AdminResponse(status, {"error": message, "field": field})
 
 
@@ -136,10 +136,10 @@
 
 
 def _read_host(body: bytes) -> str:
-    """Return the engine that a request body names.
+    """Return the engine name in the body of a request.
 
     Raises:
-        InvalidRequestError: The body is not JSON or names no host.
+        InvalidRequestError: The body is not JSON or has no host.
     """
     try:
         fields = json.loads(body or b"null")
--- a/applevale/admin/server.py
+++ b/applevale/admin/server.py
@@ -1,8 +1,8 @@
-"""The HTTP server of the admin API: one request for each connection, on the application's event loop.
+"""The HTTP server of the admin API, on the application's event loop.
 
-Each connection is a task under one timeout, whatever the client sends. The number of connections is bounded:
-a new one closes the oldest. A request that is malformed or exceeds a limit is responded to once, and no
-failure of a connection goes beyond its task.
+Each connection carries one request, and is handled in a task of its own under one timeout, whatever the
+client sends. At the maximum number of connections a new one closes the oldest. A request that is malformed or
+exceeds a limit gets an error response. A failure of one connection does not affect others.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 from .routes import AdminResponse, AdminTarget, dispatch, error_response
 
-MAX_QUOTED_CHARACTERS = 80  # of a request's target, in a log line
+MAX_QUOTED_CHARACTERS = 80  # longer request targets are truncated in log lines
 
 
 class AdminServer:
@@ -34,14 +34,14 @@
         """Create a server.
 
         Args:
-            target: What requests work on.
-            counters: Where requests and failures are counted.
-            max_requests: How many connections are open at a time.
+            target: The operations that requests may call.
+            counters: Counts requests and failures.
+            max_requests: The most connections that are open at a time.
         """
         self._target = target
         self._counters = counters
         self._max_requests = max_requests
-        self._connections: dict[asyncio.Task, socket.socket] = {}  # the oldest first
+        self._connections: dict[asyncio.Task, socket.socket] = {}  # in the order of acceptance
 
     async def serve(self, listener: socket.socket) -> None:
         """Accept and serve connections until the task is cancelled; the listener is non-blocking."""
@@ -49,17 +49,17 @@
         while True:
             try:
                 sock, _ = await loop.sock_accept(listener)
-            except OSError as error:  # the client has disconnected, or no descriptor is free
+            except OSError as error:  # for example a disconnected client, or no free file descriptor
                 log_event("door", str(error))
                 await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
-            await self._make_room()
+            await self._evict_oldest_if_full()
             task = asyncio.create_task(self._handle_connection(sock))
             self._connections[task] = sock
             task.add_done_callback(self._close_socket)
 
-    async def _make_room(self) -> None:
-        """Close the oldest connection if as many as allowed are open."""
+    async def _evict_oldest_if_full(self) -> None:
+        """Close the oldest connection if the maximum number is open, and wait until it is closed."""
         if len(self._connections) >= self._max_requests:
             self._counters["door_evicted"] += 1
             oldest = next(iter(self._connections))
@@ -68,7 +68,7 @@
             await asyncio.sleep(0)
 
     def _close_socket(self, task: asyncio.Task) -> None:
-        # In a callback: a task that is cancelled before its first step runs no `finally`.
+        # A done callback, because a task that is cancelled before its first step runs no `finally` block.
         self._connections.pop(task).close()
 
     async def _handle_connection(self, sock: socket.socket) -> None:
@@ -116,7 +116,13 @@
 
 
 async def _receive_request(sock: socket.socket, exchange: HttpExchange) -> HttpRequest:
-    """Return the request of a client; raises the errors of `HttpExchange.next_request`, and OSError."""
+    """Receive the request of a client.
+
+    Raises:
+        ClientDisconnectedError: The client closed the connection before its request was complete.
+        MalformedRequestError: The data is not HTTP or exceeds a limit.
+        OSError: The connection failed.
+    """
     loop = asyncio.get_running_loop()
     buffer = bytearray(RECEIVE_BUFFER_BYTES)
     while (request := exchange.next_request()) is None:
--- a/applevale/runtime/shutdown.py
+++ b/applevale/runtime/shutdown.py
@@ -10,8 +10,8 @@
 from ..server.listener import RpcServer
 
 ACCEPT_SECONDS = 0.75  # new connections are accepted for this long after SIGTERM
-# The platform may kill the process once the longest deadline of a request class, or MAX_DRAIN_SECONDS if that is
-# less, and KILL_GRACE_SECONDS have passed since SIGTERM.
+# The platform may kill the process once the longest deadline of a request class, or MAX_DRAIN_SECONDS if that
+# is less, and KILL_GRACE_SECONDS have passed since SIGTERM.
 MAX_DRAIN_SECONDS = 3.0
 KILL_GRACE_SECONDS = 0.7
 FINAL_RESPONSE_SECONDS = 0.3  # all open requests get a response this long before the process may be killed
