--- a/applevale/cli/__init__.py
+++ b/applevale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line tool for operators."""
--- a/applevale/cli/exit_codes.py
+++ b/applevale/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes, and how a command ends on what it cannot use."""
+"""Exit codes, and functions that end a command with one of them."""
 
 from typing import NoReturn
 
@@ -7,15 +7,15 @@
 EXIT_OK = 0
 EXIT_CHECK_FAILED = 1
 EXIT_UNUSABLE_INPUT = 2
-EXIT_INTERRUPTED = 130  # as shells have it for SIGINT
+EXIT_INTERRUPTED = 130  # the convention of shells for SIGINT
 
 
-def fail(text: str) -> NoReturn:
-    """Print one line on standard error and end with exit code 2."""
-    typer.echo(f"applevale: {text}", err=True)
+def fail(message: str) -> NoReturn:
+    """Print a one-line message on standard error and exit with code 2."""
+    typer.echo(f"applevale: {message}", err=True)
     raise typer.Exit(EXIT_UNUSABLE_INPUT)
 
 
-def exit_with(passed: bool) -> NoReturn:
-    """End with exit code 0, or 1 where a check failed."""
+def exit_with_result(passed: bool) -> NoReturn:
+    """Exit with code 0 if all checks passed, else with code 1."""
     raise typer.Exit(EXIT_OK if passed else EXIT_CHECK_FAILED)
--- a/applevale/cli/experiments.py
+++ b/applevale/cli/experiments.py
@@ -1,4 +1,4 @@
-"""`applevale experiment`: grids of simulated runs."""
+"""`applevale experiment`: runs grids of simulations, and compares and charts their results."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
     from ..simulation.experiment import Experiment
     from ..simulation.runners import Machine
 
-experiment = typer.Typer(no_args_is_help=True, help="Play state machines in simulated time, over a grid.")
+experiment = typer.Typer(no_args_is_help=True, help="Simulate state machines over a grid of parameters.")
 
 Folder = Annotated[str, typer.Argument(help="Folder of the results.")]
 
 
-def require_extra(needed: str) -> None:
-    """End with one line and exit code 2 where the extra 'experiments' is missing."""
-    if find_spec(needed) is None:
-        fail(f"experiment: {needed} is missing: install the extra 'experiments'")
+def require_module(module: str) -> None:
+    """Print one line and exit with code 2 if a module of the extra 'experiments' is missing."""
+    if find_spec(module) is None:
+        fail(f"experiment: {module} is missing: install the extra 'experiments'")
 
 
 @experiment.command("run")
 def run_experiment(
-    path: Annotated[str, typer.Argument(help="Path of the experiment.")],
+    path: Annotated[str, typer.Argument(help="Path of the experiment file.")],
     folder: Folder,
-    jobs: Annotated[int, typer.Option(help="Processes; 0: one a core.", min=0)] = 0,
+    jobs: Annotated[int, typer.Option(help="Number of processes; 0 for one per core.", min=0)] = 0,
 ) -> None:
-    """Play a grid of sizes, cases, seeds and versions; what the folder has already is not played again."""
-    require_extra("tqdm")
+    """Run a grid of sizes, cases, seeds and versions; runs whose results the folder has are skipped."""
+    require_module("tqdm")
     from tqdm import tqdm
 
     from ..simulation import experiment as grid
@@ -51,10 +51,10 @@
 
 
 def _read_experiment(path: str) -> tuple[Experiment, Machine]:
-    """Return the experiment of a file, checked, and the state machine that it runs.
+    """Read and check an experiment file, and return the experiment and its state machine.
 
     Raises:
-        ExperimentError: It cannot be used.
+        ExperimentError: The experiment is invalid.
         OSError: The file cannot be read.
     """
     from ..simulation.experiment import read_experiment
@@ -64,7 +64,9 @@
     with open(path, "rb") as file:
         specification = read_experiment(file.read())
     if specification.machine not in RUNNERS:
-        raise ExperimentError(f"machine: {specification.machine!r} is none of {', '.join(RUNNERS)}")
+        raise ExperimentError(
+            f"machine: {specification.machine!r} is unknown; expected one of: {', '.join(RUNNERS)}"
+        )
     machine = RUNNERS[specification.machine]
     machine.check(specification.versions, specification.cases)
     return specification, machine
@@ -74,17 +76,19 @@
 def compare_experiments(
     one: Folder,
     other: Folder,
-    figure: Annotated[list[str], typer.Option(help="Which figures; else all.")] = [],  # noqa: B006
+    figure: Annotated[
+        list[str], typer.Option(help="A figure to compare; may be repeated; by default all are.")
+    ] = [],  # noqa: B006
 ) -> None:
-    """Set two folders' results side by side, seed by seed: mean difference and its 95% bounds."""
-    require_extra("scipy")
+    """Compare the results in two folders by seed: print mean differences with 95% confidence bounds."""
+    require_module("scipy")
     from ..simulation import results
 
     try:
         first, second = (results.read_results(Path(folder) / "results.csv") for folder in (one, other))
         unknown = set(figure) - set(results.figures(first))
         if unknown:
-            raise results.ExperimentError(f"--figure: {', '.join(sorted(unknown))}: not in {one}")
+            raise results.ExperimentError(f"--figure: {one} has no figure {', '.join(sorted(unknown))}")
     except results.ExperimentError as error:
         fail(str(error))
     names = figure or results.figures(first)
@@ -98,17 +102,17 @@
 @experiment.command("chart")
 def chart_experiment(
     folder: Folder,
-    figure: Annotated[str, typer.Argument(help="Which figure.")],
-    out: Annotated[str, typer.Argument(help="Where to write the picture.")],
+    figure: Annotated[str, typer.Argument(help="The figure to chart.")],
+    out: Annotated[str, typer.Argument(help="Path of the image to write.")],
 ) -> None:
-    """Draw a figure over the sizes, a line for each version and case."""
-    require_extra("matplotlib")
+    """Chart a figure over the sizes, with one line for each version and case."""
+    require_module("matplotlib")
     from ..simulation import results
 
     try:
         rows = results.read_results(Path(folder) / "results.csv")
         if figure not in results.figures(rows):
-            raise results.ExperimentError(f"{figure}: not in {folder}")
+            raise results.ExperimentError(f"figure: {folder} has no figure {figure}")
         results.chart(rows, figure, Path(out))
     except (OSError, results.ExperimentError) as error:
         fail(str(error))
--- a/applevale/cli/main.py
+++ b/applevale/cli/main.py
@@ -1,4 +1,4 @@
-"""`applevale`: check a configuration, look into a registry, run a rig. The program: `python -m applevale`."""
+"""`applevale`, the command line tool for operators; the workload manager itself is `python -m applevale`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 app = typer.Typer(
     no_args_is_help=True,
     add_completion=False,
-    help="A workload manager for query engines. The program itself: python -m applevale.",
+    help="Tools for a workload manager for query engines, which itself is started by python -m applevale.",
 )
 app.add_typer(registry, name="registry")
 app.add_typer(experiment, name="experiment")
@@ -26,12 +26,12 @@
 
 @app.command()
 def check(path: ConfigPath) -> None:
-    """Check a configuration; on an error one line names the key, and the exit code is 2."""
+    """Check a configuration; an error is one line that names the key, with exit code 2."""
     config = read_config(path)
-    where = "the control feed" if config.feed else "known events only"
+    list_source = "the control feed" if config.feed else "known events only"
     if config.registry is not None:
-        where = f"a registry ({config.registry.kind}, {len(config.registry.addresses)} addresses)"
-    typer.echo(f"{path}: good. {len(config.settings.classes)} classes, the engine list from {where}")
+        list_source = f"a registry ({config.registry.kind}, {len(config.registry.addresses)} addresses)"
+    typer.echo(f"{path}: good. {len(config.settings.classes)} classes, the engine list from {list_source}")
 
 
 app.command()(members)
--- a/applevale/cli/members.py
+++ b/applevale/cli/members.py
@@ -1,4 +1,4 @@
-"""`applevale members`: what the instances of a fleet hold of each other."""
+"""`applevale members`: prints the membership views of the instances of a fleet."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 
 def members(
-    path: Annotated[str, typer.Argument(help="A history, or JSON events; -: standard input.")],
+    path: Annotated[
+        str, typer.Argument(help="Path of a history or of JSON log lines; - for standard input.")
+    ],
 ) -> None:
-    """Print what each instance last said of who lives: from a history, or the events of a running fleet."""
+    """Print the last membership view of each instance, from a history or from the log of a running fleet."""
     from ..checkers.views import last_views, read_lines
 
     try:
@@ -25,6 +27,6 @@
     except OSError as error:
         fail(f"{path}: {error.strerror}")
     if not views:
-        fail(f"{path}: no word on members")
+        fail(f"{path}: contains no membership events")
     for line in views:
         typer.echo(line)
--- a/applevale/cli/registry.py
+++ b/applevale/cli/registry.py
@@ -1,4 +1,4 @@
-"""`applevale registry`: look into the registry that a configuration names."""
+"""`applevale registry`: inspects the registry that a configuration names."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ..discovery.endpoints import format_instance_id
 from ..net.addresses import format_address
 from .arguments import ConfigPath, Seconds, read_config
-from .exit_codes import exit_with, fail
+from .exit_codes import exit_with_result, fail
 
 if TYPE_CHECKING:
     from ..discovery.endpoints import EndpointUpdate
@@ -21,33 +21,40 @@
     from ..discovery.registry.source import RegistrySource
 
 VERIFY_HELP = (
-    "Check every record, and print the revision and the digest to compare with a program's counters; exit\n"
-    "code 1 if a record cannot be used."
+    "Check every record, and print the revision and digest of the engine list, to compare with the counters "
+    "of an instance. The exit code is 1 if a record is invalid."
 )
 
-registry = typer.Typer(no_args_is_help=True, help="Look into the registry that a configuration names.")
+registry = typer.Typer(no_args_is_help=True, help="Inspect the registry that a configuration names.")
 
 
 @dataclass(frozen=True)
 class RegistryView:
-    """The list of engines as a registry has it."""
+    """The engine list in a registry.
+
+    Attributes:
+        revision: The registry's revision of the list.
+        digest: The digest of the list.
+        entries: The valid records.
+        errors: The errors of invalid records, by key.
+    """
 
     revision: int
     digest: int
     entries: list[TableEntry]
-    unusable: dict[str, str]  # keys whose value is no record, and why
+    errors: dict[str, str]
 
 
 @registry.command()
 def watch(path: ConfigPath, seconds: Seconds = 60.0) -> None:
-    """Tell each change of the engine list as it comes, and whether the list is confirmed."""
-    _require_view(path, seconds, is_watching=True)
+    """Print changes of the engine list, and of whether it is confirmed, as they occur."""
+    _fetch_view(path, seconds, is_watching=True)
 
 
 @registry.command()
 def dump(path: ConfigPath, seconds: Seconds = 5.0) -> None:
     """Print the engine list as JSON lines: key, revision, id, state, address."""
-    view = _require_view(path, seconds)
+    view = _fetch_view(path, seconds)
     for entry in sorted(view.entries, key=lambda entry: entry.key):
         record = {
             "key": entry.key,
@@ -61,22 +68,22 @@
 
 @registry.command(help=VERIFY_HELP)
 def verify(path: ConfigPath, seconds: Seconds = 5.0) -> None:
-    """Check every record of the registry, and print the revision and the digest of its list."""
-    view = _require_view(path, seconds)
-    for key, reason in sorted(view.unusable.items()):
+    """Check every record of the registry, and print the revision and digest of the engine list."""
+    view = _fetch_view(path, seconds)
+    for key, reason in sorted(view.errors.items()):
         typer.echo(f"{key}: {reason}")
     typer.echo(
         f"revision {view.revision}, digest {view.digest}, {len(view.entries)} engines, "
-        f"{len(view.unusable)} records that cannot be used"
+        f"{len(view.errors)} invalid records"
     )
-    exit_with(not view.unusable)
+    exit_with_result(not view.errors)
 
 
-def _require_view(path: str, seconds: float, is_watching: bool = False) -> RegistryView:
-    """Return the registry's list; end with exit code 2 if no member confirmed it."""
+def _fetch_view(path: str, seconds: float, is_watching: bool = False) -> RegistryView:
+    """Return the engine list in the registry; exit with code 2 if no registry member confirmed it."""
     config = read_config(path)
     if config.registry is None:
-        fail("registry: missing")
+        fail("registry: missing; a configuration with a registry is needed")
     view = asyncio.run(follow(config, seconds, is_watching))
     if view is None:
         fail("registry: no member confirmed the list")
@@ -84,9 +91,15 @@
 
 
 async def follow(config: Config, seconds: float, is_watching: bool) -> RegistryView | None:
-    """Follow the registry until its list is confirmed; None if it could not be within `seconds`.
+    """Follow the registry until its engine list is confirmed, and return the list.
+
+    Args:
+        config: A configuration with a registry.
+        seconds: How long to wait for the list.
+        is_watching: Whether to follow the registry for the whole time, and to print changes.
 
-    With `is_watching` follow it for the whole time, and print its list as it changes.
+    Returns:
+        The engine list, or None if it was not confirmed in time.
     """
     from ..discovery.registry.source import RegistrySource
     from ..observability.counters import Counters
@@ -112,11 +125,12 @@
 
 
 class _RegistryObserver:
-    """Takes note of what a registry source reports, and prints it to one who watches.
+    """Receives the updates of a registry source.
 
     Attributes:
-        done: Set once there is nothing to wait for; never for one who watches.
-        is_confirmed: Whether the list was confirmed.
+        is_watching: Whether to print each update, and to continue until the time is up.
+        done: Set when the list is confirmed, unless `is_watching`.
+        is_confirmed: Whether the list was confirmed at least once.
     """
 
     def __init__(self, is_watching: bool):
@@ -143,7 +157,7 @@
         revision=source.watcher.revision,
         digest=source.counters["registry_digest"],
         entries=list(source.table.entries.values()),
-        unusable=dict(source.table.invalid),
+        errors=dict(source.table.invalid),
     )
 
 
--- a/applevale/cli/rig.py
+++ b/applevale/cli/rig.py
@@ -1,4 +1,4 @@
-"""`applevale rig`: run the real program between fakes, cause failures and check what it guarantees."""
+"""`applevale rig`: runs the real program with fakes, injects faults and checks guarantees."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import typer
 
-from .exit_codes import exit_with, fail
+from .exit_codes import exit_with_result, fail
 
 if TYPE_CHECKING:
     from ..fault_injection.schedule import Step
@@ -19,25 +19,29 @@
 
 
 def rig(
-    name: Annotated[str, typer.Argument(help="Which rig: registry, ops or fleet.")],
-    seed: Annotated[int, typer.Option(help="Decides all that is drawn.")] = 1,
-    seconds: Annotated[float, typer.Option(help="How long it plays.")] = 60.0,
-    nodes: Annotated[int, typer.Option(help="fleet: how many programs.", min=1, max=1000)] = 8,
-    case: Annotated[str, typer.Option(help="fleet: what happens.")] = "coldstart",
-    history: Annotated[str, typer.Option(help="fleet: where to write the history.")] = "",
-    baseline: Annotated[str, typer.Option(help="fleet: a checkout to play first.")] = "",
-    schedule: Annotated[str, typer.Option(help="fleet, case schedule: a file; else drawn.")] = "",
-    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON line only.")] = False,
+    name: Annotated[str, typer.Argument(help="The rig to run: registry, ops or fleet.")],
+    seed: Annotated[int, typer.Option(help="Seed of all random draws.")] = 1,
+    seconds: Annotated[float, typer.Option(help="registry and ops: duration in seconds.")] = 60.0,
+    nodes: Annotated[int, typer.Option(help="fleet: number of processes.", min=1, max=1000)] = 8,
+    case: Annotated[str, typer.Option(help="fleet: the case to run.")] = "coldstart",
+    history: Annotated[str, typer.Option(help="fleet: path of the history to write.")] = "",
+    baseline: Annotated[
+        str, typer.Option(help="fleet: a checkout of another version to run first, for comparison.")
+    ] = "",
+    schedule: Annotated[
+        str, typer.Option(help="fleet, case schedule: a fault schedule file; by default one is drawn.")
+    ] = "",
+    as_json: Annotated[bool, typer.Option("--json", help="Print only one JSON line, the result.")] = False,
 ) -> None:
-    """Run the real program between stand-ins, cause failures, check promises; exit code 1 if one broke."""
+    """Run the program with fakes, inject faults and check guarantees; exit code 1 if one is violated."""
     if name not in RIGS:
-        fail(f"rig: no rig is called {name!r}; there are: {', '.join(RIGS)}")
+        fail(f"rig: {name!r} is unknown; expected one of: {', '.join(RIGS)}")
     if name == "fleet":
         result = _run_fleet(nodes, case, seed, history, baseline, schedule, as_json)
     else:
         result = _run_script(name, seed, seconds, as_json)
     typer.echo(json.dumps(result))
-    exit_with(result["ok"])
+    exit_with_result(result["ok"])
 
 
 def _run_script(name: str, seed: int, seconds: float, as_json: bool) -> dict:
@@ -60,18 +64,18 @@
     from ..harness.scenarios.runner import run
 
     if case not in CASES:
-        fail(f"--case: no case is called {case!r}; there are: {', '.join(CASES)}")
+        fail(f"--case: {case!r} is unknown; expected one of: {', '.join(CASES)}")
     if baseline and not os.path.isfile(os.path.join(baseline, "applevale", "__main__.py")):
-        fail(f"--baseline: {baseline}: no checkout of the program")
+        fail(f"--baseline: {baseline}: not a checkout of this project")
     plan = FleetPlan(nodes, seed, schedule=_read_steps(schedule) if schedule else ())
     if not as_json:
-        typer.echo(f"rig fleet: case {case}, {nodes} programs, seed {seed}", err=True)
-    before = None
+        typer.echo(f"rig fleet: case {case}, {nodes} processes, seed {seed}", err=True)
+    baseline_result = None
     if baseline:
-        before = uvloop.run(run(replace(plan, checkout=os.path.abspath(baseline)), case))
+        baseline_result = uvloop.run(run(replace(plan, checkout=os.path.abspath(baseline)), case))
     result = uvloop.run(run(plan, case, history))
-    if before is not None:
-        result["baseline"] = before
+    if baseline_result is not None:
+        result["baseline"] = baseline_result
     return result
 
 
--- a/applevale/cli/zones.py
+++ b/applevale/cli/zones.py
@@ -1,4 +1,4 @@
-"""`applevale zones`: plan how work leaves a zone that is lost."""
+"""`applevale zones`: plans where the work of a lost zone goes."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 import msgspec
 import typer
 
-from .exit_codes import exit_with, fail
+from .exit_codes import exit_with_result, fail
 
 CHECK_HELP = (
-    "Whether a zones file keeps every zone under the plan's headroom at the loss of any one; exit code 1 if\n"
-    "not, with a line for each that it does not."
+    "Check that a zones file keeps every zone within the plan's headroom when any one zone is lost. Each "
+    "violation is printed as a line; the exit code is 1 if there is one."
 )
 
-zones = typer.Typer(no_args_is_help=True, help="Plan how work leaves a zone that is lost.")
+zones = typer.Typer(no_args_is_help=True, help="Plan where the work of a lost zone goes.")
 
 
 @zones.command()
 def plan(
     path: Annotated[str, typer.Argument(help="Path of the plan: capacities, demand, tiers, limits.")],
-    out: Annotated[str, typer.Option(help="Where to write the zones file.")] = "",
+    out: Annotated[str, typer.Option(help="Path of the zones file to write.")] = "",
 ) -> None:
-    """Find the shares of spill for every loss of one zone and of two; exit code 1 if work finds no room."""
+    """Compute the spill shares for the loss of any one or two zones; exit code 1 if work cannot be placed."""
     try:
         from ..zones import planner
     except ImportError as error:
@@ -42,7 +42,7 @@
     if out:
         with open(out, "wb") as file:
             file.write(msgspec.json.format(msgspec.json.encode(settings), indent=2))
-    exit_with(not any(loss.has_unplaced_work() for loss in loss_plans))
+    exit_with_result(not any(loss.has_unplaced_work() for loss in loss_plans))
 
 
 @zones.command("check", help=CHECK_HELP)
@@ -50,7 +50,7 @@
     path: Annotated[str, typer.Argument(help="Path of the plan.")],
     zones_path: Annotated[str, typer.Argument(help="Path of the zones file.")],
 ) -> None:
-    """Check that a zones file keeps every zone under the plan's headroom at the loss of any one."""
+    """Check that a zones file keeps every zone within the plan's headroom when any one zone is lost."""
     from ..zones.plan import read_plan
     from ..zones.plan_report import find_overloads
     from ..zones.settings import ZonesError, read_zones
@@ -67,4 +67,4 @@
     for overload in overloads:
         typer.echo(str(overload))
     typer.echo(f"{zones_path}: {'over the headroom' if overloads else 'good'}")
-    exit_with(not overloads)
+    exit_with_result(not overloads)
