--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixed random seeds and no time limits, so that each run has the same verdict; known failures must fail."""
+"""Pytest configuration: reproducible property tests, and tests in KNOWN-RED.txt that must fail."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 def pytest_configure(config):
-    """Read the list of known failures."""
+    """Read the known failures from KNOWN-RED.txt."""
     path = Path(config.rootpath) / "KNOWN-RED.txt"
     config.known_failures = ()
     if not path.exists():
@@ -23,7 +23,7 @@
 
 
 def pytest_report_header(config):
-    """Print the known failures."""
+    """Return a header line for each known failure."""
     return [
         f"known red: {failure.test}: {failure.cause} (issue {failure.issue})"
         for failure in config.known_failures
@@ -32,7 +32,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config, items):
-    """Expect each known failure to fail, and refuse a list that names a test which does not exist."""
+    """Mark known failures as strictly expected to fail, and reject a list with a test that does not exist."""
     collected_tests = {item.nodeid for item in items}
     collected_files = {item.nodeid.partition("::")[0] for item in items}
     selects_single_tests = any("::" in argument for argument in config.args)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The list of known failures in KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""Parser of KNOWN-RED.txt, the list of tests that fail because of a known fault in the program.
 
-Each has one line, `FILE::TEST, cause, issue`. A listed test must fail: one that passes fails the run, and so
-does a list that is malformed or too long.
+Each line has the form `FILE::TEST, cause, issue`. The test run fails if a listed test passes, or if the list
+is malformed or too long.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 
 MAX_KNOWN_FAILURES = 3
-MAX_QUOTED_CHARACTERS = 80
+MAX_QUOTED_CHARACTERS = 80  # longer lines are truncated in error messages
 
 
 class KnownRedError(ValueError):
-    """The list cannot be used; the text is one plain line."""
+    """The list is invalid; the message is one line."""
 
 
 @dataclass(frozen=True)
@@ -21,9 +21,9 @@
     """A test that is expected to fail.
 
     Attributes:
-        test: Its pytest id.
-        cause: Why it fails.
-        issue: The number of the issue on the fault.
+        test: The pytest id of the test.
+        cause: Why the test fails.
+        issue: The number of the issue about the fault.
     """
 
     test: str
@@ -32,7 +32,7 @@
 
     @property
     def file(self) -> str:
-        """The file of the test, as in its pytest id."""
+        """The path of the test file, as in the pytest id."""
         return self.test.partition("::")[0]
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The handling of KNOWN-RED.txt, in a test run of its own."""
+"""KNOWN-RED.txt: expected failures, and errors in the list. Each test runs pytest in a subprocess."""
 
 import os
 import subprocess
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def run_pytest(tmp_path):
-    """Return a function that runs pytest with the given lines in KNOWN-RED.txt: exit status and output."""
+    """Return a function that runs pytest with lines in KNOWN-RED.txt and returns exit status and output."""
     for name in COPIED_FILES:
         (tmp_path / name).write_text((TESTS_DIRECTORY / name).read_text())
     (tmp_path / "test_it.py").write_text(TEST_MODULE)
@@ -32,7 +32,7 @@
     return run
 
 
-def test_a_listed_test_may_fail_and_is_printed(run_pytest):
+def test_a_listed_failure_is_printed_and_does_not_fail_the_run(run_pytest):
     status, output = run_pytest(["test_it.py::test_bad, a cause, 29"])
     assert status == 0
     assert "known red: test_it.py::test_bad: a cause (issue 29)" in output
@@ -41,12 +41,12 @@
 @pytest.mark.parametrize(
     "lines, message",
     [
-        ([], "test_bad"),  # a test that is not listed fails as ever
-        (["test_it.py::test_bad, a cause, 29", "test_it.py::test_good, mended, 29"], "XPASS(strict)"),
+        ([], "test_bad"),  # a failing test that is not listed
+        (["test_it.py::test_bad, a cause, 29", "test_it.py::test_good, fixed, 29"], "XPASS(strict)"),
         (["test_it.py::test_bad, a cause, 29"] * 4, "KNOWN-RED.txt: 4 lines, 3 at most"),
         (["test_it.py::test_bad, 29"], "KNOWN-RED.txt line 1"),
         (["test_it.py::test_bad, a cause, soon"], "KNOWN-RED.txt line 1"),
-        (["test_it.py::test_away, a cause, 29"], "there is no test test_it.py::test_away"),
+        (["test_it.py::test_missing, a cause, 29"], "there is no test test_it.py::test_missing"),
         (["test_bad, a cause, 29"], "KNOWN-RED.txt line 1"),
     ],
 )
