--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a newcomer uses it."""
+"""The command line tool: output, errors and exit codes."""
 
 import json
 import subprocess
@@ -12,42 +12,43 @@
 ROOT = Path(__file__).parent.parent
 
 
-def run(*words):
-    return CliRunner().invoke(app, list(words))
+def run(*arguments):
+    return CliRunner().invoke(app, list(arguments))
 
 
-def test_help_names_the_commands():
-    text = run("--help").output
-    assert all(word in text for word in ("check", "registry", "rig"))
+def test_help_lists_the_commands():
+    output = run("--help").output
+    assert all(command in output for command in ("check", "registry", "rig"))
 
 
-def test_check_distinguishes_good_from_bad_by_exit_code_and_one_line(tmp_path):
+def test_check_reports_an_invalid_configuration_by_exit_code_and_one_line(tmp_path):
     for name in ("examples/config.json", "deploy/registry.json", "deploy/fleet.json", "deploy/members.json"):
-        good = run("check", str(ROOT / name))
-        assert good.exit_code == 0 and "good" in good.output
+        valid = run("check", str(ROOT / name))
+        assert valid.exit_code == 0 and "good" in valid.output
     raw = json.loads((ROOT / "deploy/registry.json").read_text())
     raw["registry"]["fresh"] = "soon"
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
-    bad = run("check", str(path))
-    assert bad.exit_code == 2 and bad.output.count("\n") == 1 and "registry.fresh" in bad.output
-    raw["registry"]["fresh"], raw["feed"] = 0.35, "127.0.0.1:1"
+    invalid = run("check", str(path))
+    assert invalid.exit_code == 2 and invalid.output.count("\n") == 1 and "registry.fresh" in invalid.output
+    raw["registry"]["fresh"] = 0.35
+    raw["feed"] = "127.0.0.1:1"
     path.write_text(json.dumps(raw))
     assert "feed" in run("check", str(path)).output
 
 
-def test_commands_on_a_registry_that_is_away_end_with_one_line():
-    bad = run("registry", "verify", str(ROOT / "deploy/registry.json"), "--seconds", "0.3")
-    assert bad.exit_code == 2 and "no member" in bad.output
+def test_registry_commands_fail_without_a_reachable_registry():
+    unreachable = run("registry", "verify", str(ROOT / "deploy/registry.json"), "--seconds", "0.3")
+    assert unreachable.exit_code == 2 and "no member" in unreachable.output
     assert run("registry", "dump", str(ROOT / "examples/config.json")).exit_code == 2
 
 
-def test_an_unknown_rig_is_named():
+def test_an_unknown_rig_is_an_error():
     assert run("rig", "nothing").exit_code == 2
 
 
-def test_a_short_rig_keeps_its_guarantees():
-    done = subprocess.run(
+def test_a_short_run_of_the_registry_rig_keeps_the_guarantees():
+    completed = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -66,6 +67,6 @@
         timeout=120,
         check=False,
     )
-    result = json.loads(done.stdout.splitlines()[-1])
+    result = json.loads(completed.stdout.splitlines()[-1])
     assert result["rig"] == "registry" and result["drains"] > 5 and result["failures"] > 5
-    assert result["ok"] and done.returncode == 0, result
+    assert result["ok"] and completed.returncode == 0, result
