--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -1,4 +1,4 @@
-"""Settings of another customer: the program contains no name of one deployment."""
+"""The program works with the settings of any deployment, and its code has no names of one deployment."""
 
 import ast
 import json
@@ -13,11 +13,11 @@
 
 NS = 10**9
 PROGRAM_FILES = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["node"]
-PROTOCOL_FIELDS = {"lookup"}  # that happen to be the name of a class
+PROTOCOL_FIELDS = {"lookup"}  # fields of the protocol that have the same name as a class of a deployment
 
 
 def make_config(**changes):
-    """Return a configuration with other names, zones and effects, and nothing optional."""
+    """Return a configuration with other names than the example's and without optional settings."""
     config = json.loads(EXAMPLE_CONFIG)
     config["settings"] = {
         "az": 1,
@@ -53,13 +53,13 @@
     return config
 
 
-def test_every_class_of_foreign_settings_is_executed_under_its_own_rules(tmp_path):
+def test_requests_of_each_class_follow_the_rules_of_other_settings(tmp_path):
     instance = Instance(tmp_path, json.dumps(make_config()))
     client = RpcClient(instance.address)
     numbers = iter(range(1, 99))
 
     def send_request(method, statement):
-        """Return the error of the response, and how often the request was sent to an engine."""
+        """Send a request; return the error of its response, and the number of its attempts."""
         number = next(numbers)
         request_id = f"{number:016x}"
         client.send_request(number, method, request_id, statement, allow="900", lookup=f"{number}")
@@ -68,18 +68,18 @@
 
     for method in ("gauge", "post", "peek at"):
         assert send_request(method, "select * from a_1.x limit 2") == (None, 1)
-    named_id = "a" * 16
+    request_id_with_key = "a" * 16
     statement = "select * from a_1.x limit 2"
-    client.send_request(next(numbers), "post", named_id, statement, allow="900", replay="b2ec")
+    client.send_request(next(numbers), "post", request_id_with_key, statement, allow="900", replay="b2ec")
     assert client.read_response().error is None
     commands = {command[1]: command for command in instance.engine.seen if command[0] == EXECUTE}
-    options_of_named = commands[named_id.encode()][2]
-    options_of_unnamed = commands[b"%016x" % 2][2]
-    assert options_of_named.endswith(b",dedupe=b2ec")  # the idempotency key of the client
-    assert b"dedupe" not in options_of_unnamed
+    options_with_key = commands[request_id_with_key.encode()][2]
+    options_without_key = commands[b"%016x" % 2][2]
+    assert options_with_key.endswith(b",dedupe=b2ec")  # the idempotency key of the client
+    assert b"dedupe" not in options_without_key
     assert send_request("gauge", "insert into a_1.x -- die") == (FAILED, 1)
     error, attempt_count = send_request("peek at", "select hang from a_1.x")
-    assert error == [REJECTED, {}]  # without retry_after: the settings do not allow it
+    assert error == [REJECTED, {}]  # no retry_after, which the settings do not allow
     assert attempt_count >= 1
     error_of_unknown_class, _ = send_request("load", "select 1 from a_1.x")
     assert error_of_unknown_class == FAILED
@@ -102,7 +102,7 @@
         ({"zones": ["dock"]}, "known"),
     ],
 )
-def test_invalid_settings_end_the_start_with_one_line_that_names_the_key(tmp_path, change, key):
+def test_the_program_exits_at_invalid_settings_with_one_line_that_names_the_key(tmp_path, change, key):
     config_path = tmp_path / "config.json"
     config_path.write_text(json.dumps(make_config(**change)))
     process = ProgramProcess(config_path)
@@ -111,8 +111,8 @@
     assert key in process.log
 
 
-def names_of_deployments():
-    """Return the names of classes, tiers, kinds, zones and sites of all deployments in the repository."""
+def deployment_names():
+    """Return the names of classes, tiers, kinds, zones and sites in all deployments of the repository."""
     names = {spec["name"] for spec in json.loads(EXAMPLE_CONFIG)["settings"]["classes"]}
     for path in (ROOT / "deploy" / "sites").glob("*.toml"):
         site = tomllib.loads(path.read_text())
@@ -135,7 +135,7 @@
 
 
 def test_the_program_contains_no_name_of_a_deployment():
-    names = names_of_deployments() - PROTOCOL_FIELDS
+    names = deployment_names() - PROTOCOL_FIELDS
     files = program_files()
     found = {
         (file.name, node.value)
@@ -148,7 +148,7 @@
 
 
 def start_instance_with_descriptor_limit(directory, config, limit):
-    """Start an instance whose process may have `limit` open files, as a platform would."""
+    """Start an instance whose process may have `limit` open files."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     try:
         resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
@@ -158,7 +158,7 @@
 
 
 def send_engine_list(feed_connection, engine_port):
-    """Answer a subscription with a list that has one engine."""
+    """Respond to a subscription to the feed with a list of one engine."""
     assert struct.unpack(">Q", feed_connection.recv(8, socket.MSG_WAITALL)) == (1,)
     (host,) = struct.unpack(">I", socket.inet_aton("127.0.0.1"))
     record = struct.pack(">IIHBBBHIQ", 9, host, engine_port, 0, 0, 0, 0, 1000, 0)
@@ -166,7 +166,7 @@
 
 
 def read_metrics_response(admin_address):
-    """Return the raw response to a call of `GET /metrics`."""
+    """Return the raw response to `GET /metrics`."""
     connection = socket.create_connection(admin_address, timeout=20)
     connection.sendall(b"GET /metrics HTTP/1.1\r\nhost: x\r\n\r\n")
     response = b""
@@ -175,8 +175,8 @@
     return response
 
 
-def test_clients_at_their_limit_leave_descriptors_for_the_feed_engines_and_the_admin_api(tmp_path):
-    """While the feed is unreachable, idle clients open as many connections as they may."""
+def test_clients_leave_file_descriptors_for_the_feed_the_engines_and_the_admin_api(tmp_path):
+    """Idle clients open as many connections as they are allowed to while the feed is unreachable."""
     feed_listener = reserve_port()  # refuses connections until it listens
     admin_port = reserve_port()
     admin_address = admin_port.getsockname()
@@ -196,8 +196,8 @@
         send_engine_list(feed_connection, instance.engine_port)
         assert read_metrics_response(admin_address).startswith(b"HTTP/1.1 200")
         client = RpcClient(instance.address)
-        for first in (1, 5):  # the listener of the toy engine has a backlog of five connections
-            for number in range(first, first + 4):
+        for first_number in (1, 5):  # the fake engine's listener has a backlog of five connections
+            for number in range(first_number, first_number + 4):
                 client.send_request(number, "lookup", f"{number:016x}", "select * from air_1.x limit 1")
             assert [response.error for response in client.read_responses(4)] == [None] * 4
         assert instance.engine.seen
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,8 +1,8 @@
-"""Stored and sent bytes keep their form: files on disk, datagrams between instances, answers to operators.
+"""Compatibility of files, datagrams between instances and admin API responses with earlier versions.
 
-`fixtures/stored_formats.json` holds bytes written by the version of 2 December 2026, before any renaming; as
-hex where they are binary. Each case is read by today's version, and what today's version writes is byte for
-byte the same: a rolling upgrade mixes versions, and what is on disk outlives the process.
+A rolling upgrade mixes versions, and files outlive the process, so formats must not change.
+`fixtures/stored_formats.json` has data written by the version of 2 December 2026, before any internal name
+was changed; binary data is in hex. The present version must read each item, and write exactly the same bytes.
 """
 
 import json
@@ -36,7 +36,7 @@
 ]
 
 
-def ejections():
+def make_ejections():
     return {
         1: EjectionEntry(1764652800.25, True),
         0xC41F7A: EjectionEntry(1764652801.5, False),
@@ -44,8 +44,8 @@
     }
 
 
-def load_reports():
-    """A sender of load reports that has one send and two reports waiting."""
+def make_load_reports():
+    """Return load reports with one dispatch and two engine reports that are not sent yet."""
     reports = LoadReports(("active", "waiting", "cpu", "disk_busy", "memory_used"), 3, 0.01, seed=7)
     reports.set_engines([0x00000001, 0x00C41F7A])
     reports.record_report(10.0, 0x00000001, (3.0, 1.0, 0.5, 0.25, 0.75))
@@ -54,8 +54,8 @@
     return reports
 
 
-def membership_messages():
-    held = messages.MemberRecord(messages.MemberState.ALIVE, 3, 0x1234)
+def make_membership_messages():
+    alive = messages.MemberRecord(messages.MemberState.ALIVE, 3, 0x1234)
     suspected = messages.MemberRecord(messages.MemberState.SUSPECT, 4, 0x2345)
     dead = messages.MemberRecord(messages.MemberState.DEAD, (1 << 30) - 1, 0xFFFF)
     left = messages.MemberRecord(messages.MemberState.LEFT, 9, 1)
@@ -65,23 +65,30 @@
         messages.MemberUpdate(65535, left),
     )
     kind = messages.MessageKind
-    head = dict(
-        sequence_number=0xABCD, incarnation=5, process_id=0x4321, receiver_record=held, view_digest=0xDEADBEEF
+    common_fields = dict(
+        sequence_number=0xABCD,
+        incarnation=5,
+        process_id=0x4321,
+        receiver_record=alive,
+        view_digest=0xDEADBEEF,
     )
     return {
-        "ping": messages.Message(kind.PING, **head, updates=updates),
-        "ack": messages.Message(kind.ACK, **head | {"receiver_record": suspected}),
-        "ask": messages.Message(kind.PING_REQUEST, **head, subject=40),
-        "found": messages.Message(kind.PING_RESULT, **head, subject=40, is_reachable=True),
-        "news": messages.Message(kind.GOSSIP, **head, updates=updates[:1]),
-        "sums": messages.Message(kind.SEGMENT_DIGESTS, **head, segment_digests=(0, 1, 0xFFFFFFFF)),
+        "ping": messages.Message(kind.PING, **common_fields, updates=updates),
+        "ack": messages.Message(kind.ACK, **common_fields | {"receiver_record": suspected}),
+        "ask": messages.Message(kind.PING_REQUEST, **common_fields, subject=40),
+        "found": messages.Message(kind.PING_RESULT, **common_fields, subject=40, is_reachable=True),
+        "news": messages.Message(kind.GOSSIP, **common_fields, updates=updates[:1]),
+        "sums": messages.Message(kind.SEGMENT_DIGESTS, **common_fields, segment_digests=(0, 1, 0xFFFFFFFF)),
         "part": messages.Message(
-            kind.SEGMENT, **head, first_member=20, segment_records=(held, messages.UNKNOWN_RECORD, dead)
+            kind.SEGMENT,
+            **common_fields,
+            first_member=20,
+            segment_records=(alive, messages.UNKNOWN_RECORD, dead),
         ),
     }
 
 
-def fault_steps():
+def make_fault_schedule():
     condition = LinkCondition(
         cut=True,
         refuse=True,
@@ -107,7 +114,7 @@
     ]
 
 
-def metrics():
+def make_metrics():
     gauges = Gauges(open_requests=lambda: 4, engines=lambda: 5, disabled_engines=lambda: 6)
     metrics = Metrics(("short", "long"), gauges)
     metrics.record_response(0, ResponseOutcome.SUCCESS)
@@ -119,14 +126,14 @@
     return metrics
 
 
-class Target:
-    """What the operators' calls work on, as fixed values."""
+class FixedTarget:
+    """An admin target with fixed values."""
 
     def is_ready(self):
         return True
 
     def metrics_snapshot(self):
-        return metrics().snapshot()
+        return make_metrics().snapshot()
 
     def disable_engine(self, host):
         return host == "s-00000001"
@@ -139,7 +146,7 @@
     undrain = drain
 
 
-CALLS = {
+ADMIN_REQUESTS = {
     "ready": ("GET", "/ready", b""),
     "metrics": ("GET", "/metrics", b""),
     "disable": ("POST", "/engines/disable", b'{"host":"s-00000001"}'),
@@ -152,43 +159,44 @@
 }
 
 
-def http_reply(method, path, body):
+def admin_response(method, path, body):
     exchange = HttpExchange()
     head = f"{method} {path} HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n"
     exchange.receive(head.encode() + body)
     request = exchange.next_request()
-    response = dispatch(Target(), request.method, request.target, request.body)
+    response = dispatch(FixedTarget(), request.method, request.target, request.body)
     return exchange.serialize(response, request.method)
 
 
-def raw_snapshot(folder):
+def read_raw_snapshot(folder):
+    """Return the stored bytes of a registry snapshot."""
     with lmdb.open(str(folder)) as store, store.begin() as transaction:
         return transaction.get(b"list")
 
 
-def test_the_file_of_ejections_is_read_and_written_as_before():
+def test_an_ejection_file_is_read_and_written_as_before():
     stored = STORED["ejections"].encode()
-    assert ejection_codec.decode(stored) == ejections()
-    assert ejection_codec.encode(ejections()) == stored
+    assert ejection_codec.decode(stored) == make_ejections()
+    assert ejection_codec.encode(make_ejections()) == stored
 
 
 def test_a_registry_snapshot_is_written_as_before(tmp_path):
     store = SnapshotStore(str(tmp_path), REGISTRY)
     store.save(42, iter(REGISTRY_RECORDS))
     store.close()
-    assert raw_snapshot(tmp_path).hex() == STORED["registry_snapshot"]
+    assert read_raw_snapshot(tmp_path).hex() == STORED["registry_snapshot"]
 
 
 def test_a_stored_registry_snapshot_is_read(tmp_path):
     with lmdb.open(str(tmp_path)) as written, written.begin(write=True) as transaction:
         transaction.put(b"list", bytes.fromhex(STORED["registry_snapshot"]))
     store = SnapshotStore(str(tmp_path), REGISTRY)
-    kept = store.load()
+    snapshot = store.load()
     store.close()
-    assert (kept.revision, [tuple(one) for one in kept.records]) == (42, REGISTRY_RECORDS)
+    assert (snapshot.revision, [tuple(record) for record in snapshot.records]) == (42, REGISTRY_RECORDS)
 
 
-def test_a_stored_snapshot_of_another_registry_is_refused(tmp_path):
+def test_a_stored_snapshot_of_another_registry_is_rejected(tmp_path):
     with lmdb.open(str(tmp_path)) as written, written.begin(write=True) as transaction:
         transaction.put(b"list", bytes.fromhex(STORED["registry_snapshot"]))
     store = SnapshotStore(str(tmp_path), REGISTRY + "other/")
@@ -197,20 +205,20 @@
     store.close()
 
 
-@pytest.mark.parametrize("form", ["json", "yaml"])
-def test_a_registry_record_is_read(form):
+@pytest.mark.parametrize("record_format", ["json", "yaml"])
+def test_a_registry_record_is_read(record_format):
     names = AttributeNames(("north", "south"), ("small", "large"))
-    member = read_record(STORED[f"registry_record_{form}"].encode(), names)
-    wanted = api.EngineEntry(0xC41F7A, 1, 1, 3, 2.5, api.State.DRAINING, 1764652800.5)
-    assert (member.entry, member.address) == (wanted, ("10.0.0.9", 7109))
+    endpoint = read_record(STORED[f"registry_record_{record_format}"].encode(), names)
+    expected_entry = api.EngineEntry(0xC41F7A, 1, 1, 3, 2.5, api.State.DRAINING, 1764652800.5)
+    assert (endpoint.entry, endpoint.address) == (expected_entry, ("10.0.0.9", 7109))
 
 
-def test_a_datagram_of_load_reports_is_written_as_before():
-    assert load_reports().next_datagram().hex() == STORED["load_reports"]
+def test_a_load_report_datagram_is_written_as_before():
+    assert make_load_reports().next_datagram().hex() == STORED["load_reports"]
 
 
-def test_a_datagram_of_load_reports_is_read():
-    events = load_reports().receive(11.0, bytes.fromhex(STORED["load_reports"]))
+def test_a_load_report_datagram_is_read():
+    events = make_load_reports().receive(11.0, bytes.fromhex(STORED["load_reports"]))
     assert [(event.engine, event.report, event.threads) for event in events] == [
         (0x00000001, (), 5),
         (0x00000001, (3.0, 1.0, -1.0, -1.0, 0.75), 0),
@@ -218,37 +226,37 @@
     ]
 
 
-@pytest.mark.parametrize("name", sorted(membership_messages()))
-def test_a_datagram_of_membership_is_read_and_written_as_before(name):
+@pytest.mark.parametrize("name", sorted(make_membership_messages()))
+def test_a_membership_datagram_is_read_and_written_as_before(name):
     stored = bytes.fromhex(STORED[f"membership_{name}"])
-    message = membership_messages()[name]
+    message = make_membership_messages()[name]
     assert codec.encode(message) == stored
     assert codec.encode(codec.decode(stored)) == stored
 
 
-def test_every_kind_of_membership_datagram_has_a_case():
-    assert {message.kind for message in membership_messages().values()} == set(messages.MessageKind)
+def test_every_kind_of_membership_message_is_covered():
+    assert {message.kind for message in make_membership_messages().values()} == set(messages.MessageKind)
 
 
 def test_a_fault_schedule_is_read_and_written_as_before():
     stored = STORED["fault_schedule"].encode()
-    assert faults.read_schedule(stored) == fault_steps()
-    assert faults.write_schedule(fault_steps()) == stored
+    assert faults.read_schedule(stored) == make_fault_schedule()
+    assert faults.write_schedule(make_fault_schedule()) == stored
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_seed_draws_the_schedule_that_it_drew_before(seed):
+def test_a_seed_generates_the_same_fault_schedule_as_before(seed):
     assert faults.write_schedule(faults.draw_schedule(seed, 8)).decode() == STORED[f"drawn_schedule_{seed}"]
 
 
 def test_an_experiment_file_is_read_and_written_as_before():
     stored = STORED["experiment"].encode()
     experiment = read_experiment(stored)
-    wanted = Experiment("membership", [10, 20], ["calm"], (1, 5), {"now": {"probe": 0.5}, "slow": {}})
-    assert experiment == wanted
+    expected = Experiment("membership", [10, 20], ["calm"], (1, 5), {"now": {"probe": 0.5}, "slow": {}})
+    assert experiment == expected
     assert msgspec.json.encode(experiment) == stored
 
 
-@pytest.mark.parametrize("name", sorted(CALLS))
-def test_an_operators_call_is_answered_as_before(name):
-    assert http_reply(*CALLS[name]).decode() == STORED[f"call_{name}"]
+@pytest.mark.parametrize("name", sorted(ADMIN_REQUESTS))
+def test_an_admin_request_gets_the_same_response_as_before(name):
+    assert admin_response(*ADMIN_REQUESTS[name]).decode() == STORED[f"call_{name}"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade in place: a second process on the same clients' address, and the first one leaving."""
+"""An upgrade: a second process listens on the address of the first one, which then shuts down."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def admin_addresses():
-    """Three addresses that no other process can take."""
+    """Return three addresses for admin APIs that no other process can take."""
     reserved_ports = [reserve_port() for _ in range(3)]
     yield [format_address(reserved.getsockname()) for reserved in reserved_ports]
     for reserved in reserved_ports:
@@ -29,7 +29,7 @@
 
 
 def start_second_process(directory, instance, config_text):
-    """Start a second process on the clients' address of `instance`, as an upgrade does."""
+    """Start a second process on the address of `instance`, as an upgrade does."""
     path = directory / "second.json"
     path.write_text(config_text)
     process = ProgramProcess(path, format_address(instance.address))
@@ -37,12 +37,12 @@
     return process
 
 
-def test_a_second_process_binds_the_same_address_and_serves_when_the_first_has_exited(tmp_path):
+def test_a_second_process_on_the_same_address_serves_after_the_first_has_exited(tmp_path):
     instance = Instance(tmp_path)
     second_process = None
     try:
-        client_of_first = RpcClient(instance.address)  # while there is no other process to accept it
-        client_of_first.send_probe(1)  # a connection on which nothing comes would be closed
+        client_of_first = RpcClient(instance.address)  # accepted before there is a second process
+        client_of_first.send_probe(1)  # a connection without any message would be closed
         assert client_of_first.read_response() == Response(1, None, PROBE_ACCEPTED)
         config_text = instance.config_path.read_text()
         second_process = start_second_process(tmp_path, instance, config_text)
@@ -52,7 +52,7 @@
         assert response.number == 2
         assert response.error is None
         assert instance.process.wait(GRACEFUL_EXIT_TIMEOUT_SECONDS) == 0
-        for index in range(20):  # the first listener is closed: the second process accepts each connection
+        for index in range(20):  # the first listener is closed, so the second process accepts all of them
             client = RpcClient(instance.address)
             client.send_request(1, "lookup", f"{index + 2:016x}", "select * from air_1.x limit 1")
             assert client.read_response().error is None
@@ -64,17 +64,17 @@
 
 
 def call_admin(address, method, path, body=None):
-    """Return status and body of the response to a call of the admin API."""
+    """Return the status and body of the response to an admin API request."""
     return asyncio.run(ops.call(address, method, path, body))
 
 
 def admin_status(address, method, path, body=None):
-    """Return the status of the response to a call of the admin API."""
+    """Return the status of the response to an admin API request."""
     return call_admin(address, method, path, body)[0]
 
 
 def ejected_engine_count(address):
-    """Return how many engines are ejected by hand, by the metrics of a process."""
+    """Return the number of ejected engines in the metrics of a process."""
     _, metrics = call_admin(address, "GET", "/metrics")
     return metrics["targets_disabled"]
 
@@ -105,7 +105,7 @@
         instance.stop()
 
 
-def test_a_manual_ejection_holds_in_both_processes_of_an_address_and_in_no_other_instance(
+def test_both_processes_of_an_address_share_manual_ejections_and_other_instances_do_not(
     tmp_path, monkeypatch, admin_addresses
 ):
     first_admin, second_admin, other_admin = admin_addresses
@@ -121,7 +121,7 @@
         assert admin_status(first_admin, "POST", "/engines/disable", {"host": engine_id}) == 200
         wait_until(lambda: ejected_engine_count(second_admin) == 1)
         monkeypatch.setenv("BALANCER_CONTROL", other_admin)
-        other_instance = Instance(tmp_path)  # it keeps its ejections in the same folder
+        other_instance = Instance(tmp_path)  # on another address, with its ejection file in the same folder
         assert ejected_engine_count(other_admin) == 0
         assert admin_status(second_admin, "POST", "/engines/enable", {"host": engine_id}) == 200
         wait_until(lambda: ejected_engine_count(first_admin) == 0)
