--- a/applevale/__main__.py
+++ b/applevale/__main__.py
@@ -28,7 +28,7 @@
         return EXIT_UNUSABLE_INPUT
     if config.json_log:
         events.use_json(config.name)
-    start = lifecycle.StartRecord(early_signals, imported_at, time.process_time())
+    start = lifecycle.StartupRecord(early_signals, imported_at, time.process_time())
     try:
         uvloop.run(lifecycle.run(config, start))
     except OSError as error:
--- a/applevale/cli/registry.py
+++ b/applevale/cli/registry.py
@@ -110,7 +110,7 @@
         config.names,
         Counters(),
         observer.on_update,
-        observer.on_staleness_change,
+        observer.on_freshness_change,
         config.seed,
     )
     source.start()
@@ -142,7 +142,7 @@
         if self.is_watching:
             _print_update(update)
 
-    def on_staleness_change(self, is_fresh: bool) -> None:
+    def on_freshness_change(self, is_fresh: bool) -> None:
         if self.is_watching:
             typer.echo("confirmed" if is_fresh else "not confirmed")
         if is_fresh:
--- a/applevale/config/model.py
+++ b/applevale/config/model.py
@@ -25,7 +25,7 @@
         feed: The address of the control feed; without one the engine list stays as in `known`.
         seed: The seed of all random draws.
         sockets: The most file descriptors that the process may have open.
-        memory_bytes: The memory that the process is given.
+        memory_bytes: The memory available to the process, of which buffers for clients take a share.
         settings: The settings of the decision module.
         connection_limits: The limits of connections to engines.
         names: The names of zones and machine kinds, in the order of their indices.
--- a/applevale/observability/__init__.py
+++ b/applevale/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What the program reports of itself: counters, and log events on standard error."""
+"""Counters, and logging to standard error."""
--- a/applevale/runtime/operator_target.py
+++ b/applevale/runtime/admin_target.py
@@ -9,7 +9,7 @@
 from .ejection_control import EjectionControl
 
 
-class OperatorTarget:
+class InstanceAdminTarget:
     """Implements `admin.routes.AdminTarget` with the components of a running instance."""
 
     def __init__(
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -22,11 +22,11 @@
 from ..requests.handler import RequestHandler
 from ..server.limits import ServerLimits
 from ..server.listener import RpcServer
-from . import optional_parts
+from . import optional_components
+from .admin_target import InstanceAdminTarget
 from .descriptor_budget import DescriptorBudget
 from .ejection_control import EjectionControl
-from .engine_activity import EngineActivity
-from .operator_target import OperatorTarget
+from .engine_activity_observer import EngineActivityObserver
 from .reload import ConfigReloader
 from .shutdown import GracefulShutdown
 
@@ -58,29 +58,31 @@
         self.counters = Counters()
         self.clock = UnixClock()
         self.shutdown_requested = asyncio.Event()
-        self.descriptors = DescriptorBudget.of(config)
+        self.descriptor_budget = DescriptorBudget.from_config(config)
         self.endpoints = GatedEndpoints()
-        router = optional_parts.create_router(config, self.counters)
+        router = optional_components.create_router(config, self.counters)
         controller = AdmissionController(config.settings, config.seed, router)
         self.metrics = self._create_metrics()
         self.datagrams: DatagramSocket | None = None
         self.load_report_sender = self._create_load_report_sender(controller)
-        self.connect_pacer = optional_parts.create_connect_pacer(
+        self.connect_pacer = optional_components.create_connect_pacer(
             config, self.endpoints, self.submit_engine_list, self.update_readiness
         )
-        self.registry = optional_parts.create_registry_source(
-            config, self.counters, self.apply_update, self.on_staleness_change
+        self.registry = optional_components.create_registry_source(
+            config, self.counters, self.apply_update, self.on_freshness_change
         )
         self.pool = self._create_pool()
         self.driver = EventLoopDriver(controller, self.pool, self.counters, self.clock)
         if self.load_report_sender is not None:
-            optional_parts.create_load_report_receiver(self.load_report_sender, self.driver, self.counters)
+            optional_components.create_load_report_receiver(
+                self.load_report_sender, self.driver, self.counters
+            )
         self.handler = self._create_handler()
         self.server = self._create_server()
         self.ejection_control = EjectionControl(
             listen_address, self.endpoints, self.pool, self.driver, self.counters
         )
-        self.operator_target = self._create_operator_target()
+        self.admin_target = self._create_admin_target()
         self.membership = self._create_membership()
         self.control_feed = self._create_control_feed()
         self.source: EndpointSource = self.registry or self.control_feed
@@ -89,7 +91,7 @@
         )
         self.shutdown = GracefulShutdown(self.server, self.handler, self.driver, config.settings)
         if self.registry is not None:
-            self.on_staleness_change(False)
+            self.on_freshness_change(False)
 
     def _create_metrics(self) -> Metrics:
         gauges = Gauges(
@@ -105,20 +107,22 @@
         return len(ejected_engines & self.pool.listed_engines())
 
     def _create_load_report_sender(self, controller: AdmissionController) -> LoadReportSender | None:
-        if not optional_parts.needs_gossip(self.config, controller):
+        if not optional_components.needs_gossip(self.config, controller):
             return None
         datagrams = self._open_datagrams()
-        return optional_parts.create_load_report_sender(self.config, datagrams, self.clock, self.counters)
+        return optional_components.create_load_report_sender(
+            self.config, datagrams, self.clock, self.counters
+        )
 
     def _create_pool(self) -> EnginePool:
         return EnginePool(
             self.config.connection_limits,
             self.config.settings.report_columns,
-            self.descriptors.engines,
+            self.descriptor_budget.engines,
             self.counters,
             local_address=self.config.local_address,
             connect_policy=self.connect_pacer,
-            observer=EngineActivity(self.metrics, self.load_report_sender),
+            observer=EngineActivityObserver(self.metrics, self.load_report_sender),
             is_list_confirmed=None if self.registry is None else self.registry.may_start_work,
         )
 
@@ -133,19 +137,21 @@
             self.handler,
             self.driver,
             self.config.settings,
-            ServerLimits(self.descriptors.clients, buffer_memory),
+            ServerLimits(self.descriptor_budget.clients, buffer_memory),
             self.counters,
             metrics=self.metrics,
         )
 
-    def _create_operator_target(self) -> OperatorTarget:
-        return OperatorTarget(self.server, self.metrics, self.ejection_control, self.update_readiness)
+    def _create_admin_target(self) -> InstanceAdminTarget:
+        return InstanceAdminTarget(self.server, self.metrics, self.ejection_control, self.update_readiness)
 
     def _create_membership(self) -> MembershipRunner | None:
         if self.config.membership is None:
             return None
         datagrams = self._open_datagrams()
-        return optional_parts.create_membership(self.config, datagrams, self.counters, self.on_fleet_resize)
+        return optional_components.create_membership(
+            self.config, datagrams, self.counters, self.on_fleet_resize
+        )
 
     def _create_control_feed(self) -> ControlFeed:
         config = self.config
@@ -154,7 +160,7 @@
 
     def _open_datagrams(self) -> DatagramSocket:
         if self.datagrams is None:
-            self.datagrams = optional_parts.create_datagrams(self.config, self.counters)
+            self.datagrams = optional_components.create_datagrams(self.config, self.counters)
         return self.datagrams
 
     def is_serving(self) -> bool:
@@ -185,18 +191,18 @@
         """Pass engines whose state has changed to the decision module."""
         self.driver.submit(update)
 
-    def on_staleness_change(self, confirmed: bool) -> None:
-        """Start or stop work on engines as the registry's engine list becomes confirmed or stale.
+    def on_freshness_change(self, is_fresh: bool) -> None:
+        """Start or stop sending requests to engines as the registry's engine list becomes fresh or stale.
 
-        Nothing happens if the configuration has the instance serve requests with a stale list.
+        Does nothing if the configuration says to serve with a stale list.
         """
         if self.config.registry.on_stale == "serve":
             return
-        self.driver.submit(self.endpoints.set_confirmed(confirmed))
-        if not confirmed:
+        self.driver.submit(self.endpoints.set_confirmed(is_fresh))
+        if not is_fresh:
             for engine in self.pool.engines:
                 self.pool.withdraw_unsent(engine)
-        self.handler.reject_after(None if confirmed else self.config.registry.hold)
+        self.handler.reject_after(None if is_fresh else self.config.registry.hold)
         self.update_readiness()
 
     def on_fleet_resize(self, size: int) -> None:
--- a/applevale/runtime/descriptor_budget.py
+++ b/applevale/runtime/descriptor_budget.py
@@ -16,7 +16,7 @@
 
     Attributes:
         clients: Connections of clients: half of all descriptors. One client may hold a third of these.
-        admin: Connections to the admin API.
+        admin: Connections to the admin API: an eighth of all descriptors, at most `MAX_CONCURRENT_REQUESTS`.
         engines: Connections to engines: the descriptors that neither the others nor the reserve take.
     """
 
@@ -25,7 +25,7 @@
     engines: int
 
     @classmethod
-    def of(cls, config: Config) -> DescriptorBudget:
+    def from_config(cls, config: Config) -> DescriptorBudget:
         """Return the budget for a configuration."""
         clients = config.sockets // 2
         admin = 0 if config.admin_address is None else min(config.sockets // 8, MAX_CONCURRENT_REQUESTS)
--- a/applevale/runtime/engine_activity.py
+++ b/applevale/runtime/engine_activity_observer.py
@@ -1,4 +1,4 @@
-"""Forwards events of engine connections to the metrics and to the sender of load reports."""
+"""An observer of engine connections for the metrics and the exchange of load reports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from ..gossip.exchange import LoadReportSender
 
 
-class EngineActivity(EngineObserver):
+class EngineActivityObserver(EngineObserver):
     """Shares the load reports of engines with the other instances, and counts attempts sent to engines."""
 
     def __init__(self, metrics: Metrics, load_report_sender: LoadReportSender | None) -> None:
--- a/applevale/runtime/lifecycle.py
+++ b/applevale/runtime/lifecycle.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class StartRecord:
+class StartupRecord:
     """What happened in the process before the event loop ran.
 
     Attributes:
@@ -32,7 +32,7 @@
     configured_at: float
 
 
-async def run(config: Config, start: StartRecord) -> None:
+async def run(config: Config, start: StartupRecord) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
     Raises:
@@ -49,9 +49,9 @@
     loop.call_later(COUNTERS_LOG_INTERVAL_SECONDS, application.log_counters_periodically)
     application.server.start(listener, started_at)
     admin_task = None if admin_listener is None else _start_admin_server(application, admin_listener)
-    _finish_start(application, start)
-    line = f"{config.name} listens on {host}:{port}"
-    log_unlimited("listening", line, host=host, port=port, pid=os.getpid())
+    _finish_startup(application, start)
+    console_line = f"{config.name} listens on {host}:{port}"
+    log_unlimited("listening", console_line, host=host, port=port, pid=os.getpid())
     try:
         await application.shutdown_requested.wait()
         application.leave()
@@ -76,21 +76,21 @@
     """Serve the admin API in a new task, and watch for ejections by another process."""
     from ..admin.server import AdminServer  # imported only if used: its library costs memory and startup time
 
-    server = AdminServer(application.operator_target, application.counters, application.descriptors.admin)
+    server = AdminServer(application.admin_target, application.counters, application.descriptor_budget.admin)
     task = asyncio.create_task(server.serve(listener))
     application.ejection_control.poll_periodically()
     return task
 
 
-def _finish_start(application: Application, start: StartRecord) -> None:
-    """Tune the garbage collector, count CPU time, and carry out a reload that was requested early."""
+def _finish_startup(application: Application, start: StartupRecord) -> None:
+    """Tune the garbage collector, count CPU time, and carry out a reload that was requested meanwhile."""
     tune_garbage_collector()
-    _record_start(application.counters, start)
+    _count_startup_cpu_time(application.counters, start)
     if signal.SIGHUP in start.early_signals:
         application.reloader.reload()
 
 
-def _record_start(counters: Counters, start: StartRecord) -> None:
+def _count_startup_cpu_time(counters: Counters, start: StartupRecord) -> None:
     """Count the CPU time of each phase of the startup.
 
     Wall time would not be comparable: a process with a share of a core may take any multiple of its CPU time.
--- a/applevale/runtime/optional_parts.py
+++ b/applevale/runtime/optional_components.py
@@ -111,7 +111,7 @@
     config: Config,
     counters: Counters,
     on_update: Callable[[EndpointUpdate], None],
-    on_staleness_change: Callable[[bool], None],
+    on_freshness_change: Callable[[bool], None],
 ) -> RegistrySource | None:
     """Return the source of the engine list in a registry, or None if the control feed is the source."""
     if config.registry is None:
@@ -123,7 +123,7 @@
         config.names,
         counters,
         on_update,
-        on_staleness_change,
+        on_freshness_change,
         config.seed,
         local_address=config.local_address,
     )
--- a/applevale/runtime/reload.py
+++ b/applevale/runtime/reload.py
@@ -13,17 +13,17 @@
 from ..observability.counters import Counters
 from ..observability.events import log_event
 
-# Fields of `Config` that take effect only at the start of a process, and their names in log lines.
+# Fields of `Config` that take effect only at the start of a process, and how log lines name them.
 START_ONLY_FIELDS = {
     "listen": "listen",
-    "sockets": "sockets",
-    "memory_bytes": "memory",
+    "sockets": "limits.sockets",
+    "memory_bytes": "limits.memory_mb",
     "settings": "settings",
-    "connection_limits": "links",
-    "zones": "zones",
+    "connection_limits": "settings of connections to engines",
+    "zones": "zones_file",
 }
-# Fields of `Config` that must not change, because they identify the instance, and their names in log lines.
-IDENTITY_FIELDS = {"name": "name", "names": "names"}
+# Fields of `Config` that must not change, because they identify the instance, and how log lines name them.
+IDENTITY_FIELDS = {"name": "name", "names": "zones or kinds"}
 
 
 class ConfigReloader:
@@ -98,7 +98,7 @@
             raise ConfigError(f"another one's {', '.join(changed)}")
 
     def _changed_names(self, fields: Mapping[str, str], config: Config) -> list[str]:
-        """Return the names in log lines of those fields that differ from the configuration of the start."""
+        """Return the names in log lines of fields that differ from the configuration at the start."""
         return [
             name for field, name in fields.items() if getattr(config, field) != getattr(self.config, field)
         ]
--- a/applevale/simulator_wire/layout.py
+++ b/applevale/simulator_wire/layout.py
@@ -1,7 +1,7 @@
 """Layout of the simulator's wire protocol: record codes and fixed fields, all little-endian.
 
 A batch is a header followed by records. A record is a code, the size of its fields, and the fields. All
-sizes are in bytes.
+sizes are in bytes. The functions of the decoder and the encoder name the fields of each record.
 """
 
 from __future__ import annotations
--- a/applevale/simulator_wire/settings.py
+++ b/applevale/simulator_wire/settings.py
@@ -37,7 +37,9 @@
         try:
             return BOOLEANS[raw] if kind is bool else kind(raw)
         except (ValueError, KeyError):
-            raise api.SettingsError(f"{path}: {raw!r} is not a {kind.__name__}") from None
+            raise api.SettingsError(
+                f"{path}: a value of type {kind.__name__} is needed, not {raw!r}"
+            ) from None
 
     def seconds(self, path: str, default: float) -> float:
         """Return in seconds a time that is stated in nanoseconds; `default` is in seconds."""
@@ -57,7 +59,9 @@
         try:
             return raw == "true" if kind is bool else kind(raw)
         except ValueError:
-            raise api.SettingsError(f"{path}: {raw!r} is not a {kind.__name__}") from None
+            raise api.SettingsError(
+                f"{path}: a value of type {kind.__name__} is needed, not {raw!r}"
+            ) from None
 
     def indices(self, path: str, names: list[str]) -> frozenset[int] | None:
         """Return a list of names and indices as indices into `names`; None if the path is absent."""
@@ -68,9 +72,7 @@
         try:
             return frozenset(names.index(item) if item in names else int(item) for item in raw_items)
         except ValueError:
-            raise api.SettingsError(
-                f"{path}: {raw_items!r} contains an unknown name; known: {names!r}"
-            ) from None
+            raise api.SettingsError(f"{path}: names from {names!r} are needed, not {raw_items!r}") from None
 
     def items(self, path: str, read: Callable[[int], object], default_count: int | None = None) -> tuple:
         """Return the results of `read` for each index below the number at `path`.count."""
@@ -111,7 +113,7 @@
     try:
         repeat = api.Repeat(lines.get(path + "repeat", str))
     except ValueError:
-        raise api.SettingsError(f"{path}repeat: must be safe, keyed or unsafe") from None
+        raise api.SettingsError(f"{path}repeat: safe, keyed or unsafe is needed") from None
     return api.ClassSpec(
         name=lines.get(path + "name", str, f"class-{index}"),
         aim=lines.get(path + "aim", float) / NANOSECONDS_PER_SECOND,
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -196,7 +196,7 @@
         send_engine_list(feed_connection, instance.engine_port)
         assert read_metrics_response(admin_address).startswith(b"HTTP/1.1 200")
         client = RpcClient(instance.address)
-        for first_number in (1, 5):  # the fake engine's listener has a backlog of five connections
+        for first_number in (1, 5):  # the toy engine's listener has a backlog of five connections
             for number in range(first_number, first_number + 4):
                 client.send_request(number, "lookup", f"{number:016x}", "select * from air_1.x limit 1")
             assert [response.error for response in client.read_responses(4)] == [None] * 4
