--- a/applevale/__main__.py
+++ b/applevale/__main__.py
@@ -6,12 +6,12 @@
 import sys
 import time
 
-EXIT_UNUSABLE_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 
 def main() -> int:
     """Run the program and return its exit code."""
-    early_signals = _collect_early_signals()
+    early_signals = _collect_early_signals()  # before the imports, which take time
 
     import uvloop
 
@@ -25,7 +25,7 @@
         config = load_config()
     except ConfigError as error:
         print(f"applevale: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE_INPUT
+        return EXIT_INVALID_INPUT
     if config.json_log:
         events.use_json(config.name)
     start = lifecycle.StartupRecord(early_signals, imported_at, time.process_time())
@@ -33,7 +33,7 @@
         uvloop.run(lifecycle.run(config, start))
     except OSError as error:
         print(f"applevale: listen: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE_INPUT
+        return EXIT_INVALID_INPUT
     return 0
 
 
@@ -45,7 +45,7 @@
     """
     early_signals: set[int] = set()
     for number in (signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(number, lambda number, frame: early_signals.add(number))
+        signal.signal(number, lambda received, frame: early_signals.add(received))
     return early_signals
 
 
--- a/applevale/admin/draining.py
+++ b/applevale/admin/draining.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from math import inf
 
-# New requests are accepted for this long after an operator begins a drain. From 4 s on no connection may be
-# open that had a request in the last 2 s; without this limit, overlapping requests could keep a connection
-# busy forever.
+# New requests are accepted for this long after an operator begins a drain. 4 s after its beginning, no
+# connection may be open that had a request in the last 2 s; without this limit, overlapping requests could
+# keep a connection busy forever.
 ACCEPT_SECONDS = 1.75
 # The first request on a new connection may be in transit for this long.
 FIRST_REQUEST_GRACE_SECONDS = 0.25
--- a/applevale/cli/exit_codes.py
+++ b/applevale/cli/exit_codes.py
@@ -6,14 +6,14 @@
 
 EXIT_OK = 0
 EXIT_CHECK_FAILED = 1
-EXIT_UNUSABLE_INPUT = 2
+EXIT_INVALID_INPUT = 2
 EXIT_INTERRUPTED = 130  # the convention of shells for SIGINT
 
 
 def fail(message: str) -> NoReturn:
     """Print a one-line message on standard error and exit with code 2."""
     typer.echo(f"applevale: {message}", err=True)
-    raise typer.Exit(EXIT_UNUSABLE_INPUT)
+    raise typer.Exit(EXIT_INVALID_INPUT)
 
 
 def exit_with_result(passed: bool) -> NoReturn:
--- a/applevale/observability/counters.py
+++ b/applevale/observability/counters.py
@@ -11,7 +11,7 @@
 class Counters(Counter):
     """Counts by name; the count of an unknown name is 0."""
 
-    def dump(self) -> None:
+    def log(self) -> None:
         """Log all counts, sorted by name."""
         counts = dict(sorted(self.items()))
         log_unlimited("counters", "counters " + json.dumps(counts), counts=counts)
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -218,7 +218,7 @@
             self.registry.update_list_counters()
         if self.membership is not None:
             self.membership.dump_state()
-        self.counters.dump()
+        self.counters.log()
 
     def log_counters_periodically(self) -> None:
         """Log all counters now and at regular intervals from now on."""
@@ -248,4 +248,4 @@
             if component is not None:
                 component.stop()
         await self.source.stop()
-        self.counters.dump()
+        self.counters.log()
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Boot:
-    """An instance starts.
+    """The start of an instance.
 
     Attributes:
         seed: The seed of its random draws.
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Shutdown:
-    """An instance shuts down."""
+    """The shutdown of an instance."""
 
 
 InstanceEvent = api.Event | Boot | Shutdown
--- a/applevale/simulator_wire/settings.py
+++ b/applevale/simulator_wire/settings.py
@@ -27,54 +27,57 @@
         """Parse the lines; those without an equals sign are ignored."""
         self.values = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
 
-    def get(self, path: str, kind: type, default: object = None):
-        """Return the value of a path as `kind`; without a default the path is required."""
+    def get(self, path: str, value_type: type, default: object = None):
+        """Return the value of a path as `value_type`; without a default the path is required."""
         if path not in self.values:
             if default is None:
                 raise api.SettingsError(f"{path}: missing")
             return default
         raw = self.values[path]
         try:
-            return BOOLEANS[raw] if kind is bool else kind(raw)
+            return BOOLEANS[raw] if value_type is bool else value_type(raw)
         except (ValueError, KeyError):
             raise api.SettingsError(
-                f"{path}: a value of type {kind.__name__} is needed, not {raw!r}"
+                f"{path}: a value of type {value_type.__name__} is needed, not {raw!r}"
             ) from None
 
-    def seconds(self, path: str, default: float) -> float:
+    def get_seconds(self, path: str, default: float) -> float:
         """Return in seconds a time that is stated in nanoseconds; `default` is in seconds."""
         return self.get(path, float, default * NANOSECONDS_PER_SECOND) / NANOSECONDS_PER_SECOND
 
-    def list(self, path: str) -> list[str]:
+    def get_list(self, path: str) -> list[str]:
         """Return a comma-separated list; empty if the path is absent."""
         raw = self.values.get(path, "")
         return raw.split(",") if raw else []
 
-    def item(self, path: str, kind: type, index: int, default: object):
+    def get_list_item(self, path: str, value_type: type, index: int, default: object):
         """Return an item of a list; an index past the end returns the last item."""
-        values = self.list(path)
+        values = self.get_list(path)
         if not values:
             return default
         raw = values[min(index, len(values) - 1)]
         try:
-            return raw == "true" if kind is bool else kind(raw)
+            return raw == "true" if value_type is bool else value_type(raw)
         except ValueError:
             raise api.SettingsError(
-                f"{path}: a value of type {kind.__name__} is needed, not {raw!r}"
+                f"{path}: a value of type {value_type.__name__} is needed, not {raw!r}"
             ) from None
 
-    def indices(self, path: str, names: list[str]) -> frozenset[int] | None:
+    def get_indices(self, path: str, names: list[str]) -> frozenset[int] | None:
         """Return a list of names and indices as indices into `names`; None if the path is absent."""
         count = self.get(f"{path}.count", int, 0)
-        raw_items = [self.values[f"{path}.{index}"] for index in range(count)] if count else self.list(path)
         if path not in self.values and not count:
             return None
+        if count:
+            raw_items = [self.values[f"{path}.{index}"] for index in range(count)]
+        else:
+            raw_items = self.get_list(path)
         try:
             return frozenset(names.index(item) if item in names else int(item) for item in raw_items)
         except ValueError:
             raise api.SettingsError(f"{path}: names from {names!r} are needed, not {raw_items!r}") from None
 
-    def items(self, path: str, read: Callable[[int], object], default_count: int | None = None) -> tuple:
+    def read_items(self, path: str, read: Callable[[int], object], default_count: int | None = None) -> tuple:
         """Return the results of `read` for each index below the number at `path`.count."""
         return tuple(read(index) for index in range(self.get(f"{path}.count", int, default_count)))
 
@@ -86,17 +89,17 @@
         SettingsError: A value is missing or invalid; the message begins with its path.
     """
     lines = SettingLines(text)
-    zones = lines.list("zones")
-    kinds = lines.list("kinds")
+    zones = lines.get_list("zones")
+    kinds = lines.get_list("kinds")
     return api.Settings(
-        classes=lines.items("classes", lambda index: _read_class(lines, index, zones, kinds)),
-        tenants=lines.items("orgs", lambda index: _read_tenant(lines, index), 0),
+        classes=lines.read_items("classes", lambda index: _read_class(lines, index, zones, kinds)),
+        tenants=lines.read_items("orgs", lambda index: _read_tenant(lines, index), 0),
         kinds=tuple(_read_kind(lines, index, name) for index, name in enumerate(kinds)),
         me=lines.get("me", int, 0),
         gateways=lines.get("fleet_size", int, 1),
         zone=lines.get("az", int, 0),
         discovery_push=lines.get("discovery", str, "pushed") == "pushed",
-        tick=lines.seconds("tick", 0.005),
+        tick=lines.get_seconds("tick", 0.005),
         over_share_worth=lines.get("over_share_worth", float, 1.0),
         probe_price=lines.get("prices.probe", float, 0.0),
         peer_price=lines.get("prices.peer", float, 0.0),
@@ -123,14 +126,14 @@
         late_share=lines.get(path + "late_share", float, 0.0),
         repeat=repeat,
         group=lines.get(path + "group", str, "all"),
-        repeat_window=lines.seconds(path + "repeat_window", 0.0),
+        repeat_window=lines.get_seconds(path + "repeat_window", 0.0),
         ordered=lines.get(path + "by_arrival", bool, False),
-        zones=lines.indices(path + "zones_allowed", zones),
-        kinds=lines.indices(path + "allowed_on", kinds),
+        zones=lines.get_indices(path + "zones_allowed", zones),
+        kinds=lines.get_indices(path + "allowed_on", kinds),
         stream=lines.get(path + "stream", bool, False),
-        threads=lines.item("specifics.class_threads", int, index, 1),
-        load=lines.item("specifics.class_load", bool, index, False),
-        yields=lines.item("specifics.yields_to_loads", bool, index, False),
+        threads=lines.get_list_item("specifics.class_threads", int, index, 1),
+        load=lines.get_list_item("specifics.class_load", bool, index, False),
+        yields=lines.get_list_item("specifics.yields_to_loads", bool, index, False),
     )
 
 
@@ -144,14 +147,14 @@
 def _read_kind(lines: SettingLines, index: int, name: str) -> api.KindSpec:
     return api.KindSpec(
         name=name,
-        cores=lines.item("specifics.cpu_of_kind", float, index, 0.0),
-        memory_mb=lines.item("specifics.ram_of_kind_mb", float, index, 0.0),
+        cores=lines.get_list_item("specifics.cpu_of_kind", float, index, 0.0),
+        memory_mb=lines.get_list_item("specifics.ram_of_kind_mb", float, index, 0.0),
     )
 
 
 def _read_report_columns(lines: SettingLines) -> tuple[str, ...]:
     columns = []
-    for name in lines.list("stats.columns"):
+    for name in lines.get_list("stats.columns"):
         setting = "specifics." + COLUMN_SETTINGS.get(name, "")
         columns.append(COLUMN_MEANINGS.get(lines.values.get(setting, ""), name))
     return tuple(columns)
@@ -160,17 +163,17 @@
 def _read_guarantees(lines: SettingLines) -> dict[str, object]:
     budget_share = lines.get("guarantees.budget_share", float, -1.0)
     return {
-        "answer_slack": lines.seconds("guarantees.answer_slack", 0.0),
-        "ask_within": lines.seconds("guarantees.ask_within", 10.0),
-        "drain_grace": lines.seconds("guarantees.drain_grace", 0.0),
+        "answer_slack": lines.get_seconds("guarantees.answer_slack", 0.0),
+        "ask_within": lines.get_seconds("guarantees.ask_within", 10.0),
+        "drain_grace": lines.get_seconds("guarantees.drain_grace", 0.0),
         "cold_share": lines.get("guarantees.cold_share", float, 0.1),
-        "warm_up": lines.seconds("guarantees.warm_up", 30.0),
-        "fall": lines.seconds("guarantees.fall", 1.0),
+        "warm_up": lines.get_seconds("guarantees.warm_up", 30.0),
+        "fall": lines.get_seconds("guarantees.fall", 1.0),
         "fall_multiple": lines.get("guarantees.fall_multiple", float, 1.0),
-        "order_pause": lines.seconds("guarantees.order_pause", 0.0),
+        "order_pause": lines.get_seconds("guarantees.order_pause", 0.0),
         "budget_share": None if budget_share < 0 else budget_share,
         "budget_free": lines.get("guarantees.min_extra", float, 0.0),
-        "budget_span": lines.seconds("guarantees.ratio_span", 5.0),
+        "budget_span": lines.get_seconds("guarantees.ratio_span", 5.0),
     }
 
 
@@ -178,7 +181,7 @@
     return {
         "try_limit": lines.get("limits.try_limit", int, 1),
         "max_open": lines.get("limits.max_open", int, 20000),
-        "max_retry_after": lines.seconds("limits.max_retry_after", 0.0),
+        "max_retry_after": lines.get_seconds("limits.max_retry_after", 0.0),
         "may_cancel": lines.get("limits.cancel", bool, False),
         "may_probe": lines.get("limits.may_probe", bool, False),
         "may_tell_peers": lines.get("limits.peers", bool, False),
@@ -192,7 +195,7 @@
         "memory_heeded": lines.get("specifics.memory_heeded", bool, False),
         "ranks_heeded": lines.get("specifics.ranks_heeded", bool, False),
         "tells_cost": lines.get("specifics.says_cost", bool, False),
-        "progress": lines.seconds("specifics.progress", 0.0),
+        "progress": lines.get_seconds("specifics.progress", 0.0),
         "largest_share": lines.get("specifics.largest_share", float, 1.0),
         "when_short": lines.get("specifics.when_short", str, "wait"),
     }
