--- a/applevale/__main__.py
+++ b/applevale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m applevale`: the real workload manager."""
+"""Entry point of the workload manager: `python -m applevale`."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import sys
 import time
 
-EXIT_UNUSABLE_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 
 def main() -> int:
-    """Run the program; return its exit code."""
-    early_signals = _keep_early_signals()
+    """Run the program and return its exit code."""
+    early_signals = _collect_early_signals()  # before the imports, which take time
 
     import uvloop
 
@@ -25,26 +25,27 @@
         config = load_config()
     except ConfigError as error:
         print(f"applevale: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE_INPUT
+        return EXIT_INVALID_INPUT
     if config.json_log:
         events.use_json(config.name)
-    start = lifecycle.StartRecord(early_signals, imported_at, time.process_time())
+    start = lifecycle.StartupRecord(early_signals, imported_at, time.process_time())
     try:
         uvloop.run(lifecycle.run(config, start))
     except OSError as error:
         print(f"applevale: listen: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE_INPUT
+        return EXIT_INVALID_INPUT
     return 0
 
 
-def _keep_early_signals() -> set[int]:
-    """Collect the signals that come before the event loop runs; by default either would end the process.
+def _collect_early_signals() -> set[int]:
+    """Return a set to which SIGHUP and SIGUSR1 are added when they arrive before the event loop runs.
 
-    A reload is kept for later; before these handlers the configuration has not been read yet.
+    By default either signal would end the process. The handlers are installed before the configuration is
+    read, so that no request to reload it is lost.
     """
     early_signals: set[int] = set()
     for number in (signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(number, lambda number, frame: early_signals.add(number))
+        signal.signal(number, lambda received, frame: early_signals.add(received))
     return early_signals
 
 
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one workload manager together and routes changes among them."""
+"""Creates the components of one workload manager and propagates changes between them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from ..requests.handler import RequestHandler
 from ..server.limits import ServerLimits
 from ..server.listener import RpcServer
-from . import optional_parts
+from . import optional_components
+from .admin_target import InstanceAdminTarget
 from .descriptor_budget import DescriptorBudget
 from .ejection_control import EjectionControl
-from .engine_activity import EngineActivity
-from .operator_target import OperatorTarget
+from .engine_activity_observer import EngineActivityObserver
 from .reload import ConfigReloader
 from .shutdown import GracefulShutdown
 
@@ -35,55 +35,63 @@
     from ..membership.runner import MembershipRunner
     from ..net.datagrams import DatagramSocket
 
-COUNTERS_INTERVAL_SECONDS = 5.0  # between two lines of counters: a killed process prints none at its end
-CLIENT_MEMORY_SHARE = 0.125  # of the memory, for messages and answers of clients
+# Counters are logged at this interval, because a process that is killed cannot log them at its exit.
+COUNTERS_LOG_INTERVAL_SECONDS = 5.0
+CLIENT_BUFFER_MEMORY_SHARE = 0.125  # the share of the memory for messages from and responses to clients
 
 
 class Application:
-    """The parts of one workload manager, and what happens between them.
+    """The components of one workload manager, and the changes that pass between them.
 
-    The parts are created in the order in which they depend on each other. What one of them causes in a part
-    that is created after it goes through a method of this class.
+    Each component is created after those it depends on. To affect a component that is created later, a
+    component calls a method of this class.
     """
 
     def __init__(self, config: Config, listen_address: Address):
-        """Build all parts; `listen_address` is the real one, where the configuration leaves the port open."""
+        """Create all components.
+
+        Args:
+            config: The configuration.
+            listen_address: The bound address; its port may have been chosen by the system.
+        """
         self.config = config
         self.counters = Counters()
         self.clock = UnixClock()
         self.shutdown_requested = asyncio.Event()
-        self.descriptors = DescriptorBudget.of(config)
+        self.descriptor_budget = DescriptorBudget.from_config(config)
         self.endpoints = GatedEndpoints()
-        router = optional_parts.create_router(config, self.counters)
+        router = optional_components.create_router(config, self.counters)
         controller = AdmissionController(config.settings, config.seed, router)
         self.metrics = self._create_metrics()
         self.datagrams: DatagramSocket | None = None
         self.load_report_sender = self._create_load_report_sender(controller)
-        self.connect_pacer = optional_parts.create_connect_pacer(
+        self.connect_pacer = optional_components.create_connect_pacer(
             config, self.endpoints, self.submit_engine_list, self.update_readiness
         )
-        self.registry = optional_parts.create_registry_source(
-            config, self.counters, self.apply_update, self.on_staleness_change
+        self.registry_source = optional_components.create_registry_source(
+            config, self.counters, self.apply_update, self.on_freshness_change
         )
         self.pool = self._create_pool()
         self.driver = EventLoopDriver(controller, self.pool, self.counters, self.clock)
         if self.load_report_sender is not None:
-            optional_parts.create_load_report_receiver(self.load_report_sender, self.driver, self.counters)
+            optional_components.create_load_report_receiver(
+                self.load_report_sender, self.driver, self.counters
+            )
         self.handler = self._create_handler()
         self.server = self._create_server()
         self.ejection_control = EjectionControl(
             listen_address, self.endpoints, self.pool, self.driver, self.counters
         )
-        self.operator_target = self._create_operator_target()
+        self.admin_target = self._create_admin_target()
         self.membership = self._create_membership()
         self.control_feed = self._create_control_feed()
-        self.source: EndpointSource = self.registry or self.control_feed
+        self.endpoint_source: EndpointSource = self.registry_source or self.control_feed
         self.reloader = ConfigReloader(
-            config, self.source, self.control_feed, metrics=self.metrics, counters=self.counters
+            config, self.endpoint_source, self.control_feed, metrics=self.metrics, counters=self.counters
         )
         self.shutdown = GracefulShutdown(self.server, self.handler, self.driver, config.settings)
-        if self.registry is not None:
-            self.on_staleness_change(False)
+        if self.registry_source is not None:
+            self.on_freshness_change(False)
 
     def _create_metrics(self) -> Metrics:
         gauges = Gauges(
@@ -94,26 +102,28 @@
         return Metrics(tuple(spec.name for spec in self.config.settings.classes), gauges)
 
     def _count_disabled_engines(self) -> int:
-        """Count listed engines that are ejected, by hand or by the decision module."""
-        ejected = self.ejection_control.ejections.ejected | self.driver.outlier_engines()
-        return len(ejected & self.pool.listed_engines())
+        """Return the number of listed engines that are ejected, manually or as outliers."""
+        ejected_engines = self.ejection_control.ejections.ejected | self.driver.outlier_engines()
+        return len(ejected_engines & self.pool.listed_engines())
 
     def _create_load_report_sender(self, controller: AdmissionController) -> LoadReportSender | None:
-        if not optional_parts.needs_gossip(self.config, controller):
+        if not optional_components.needs_gossip(self.config, controller):
             return None
         datagrams = self._open_datagrams()
-        return optional_parts.create_load_report_sender(self.config, datagrams, self.clock, self.counters)
+        return optional_components.create_load_report_sender(
+            self.config, datagrams, self.clock, self.counters
+        )
 
     def _create_pool(self) -> EnginePool:
         return EnginePool(
             self.config.connection_limits,
             self.config.settings.report_columns,
-            self.descriptors.engines,
+            self.descriptor_budget.engines,
             self.counters,
             local_address=self.config.local_address,
             connect_policy=self.connect_pacer,
-            observer=EngineActivity(self.metrics, self.load_report_sender),
-            is_list_confirmed=None if self.registry is None else self.registry.may_start_work,
+            observer=EngineActivityObserver(self.metrics, self.load_report_sender),
+            is_list_confirmed=None if self.registry_source is None else self.registry_source.may_start_work,
         )
 
     def _create_handler(self) -> RequestHandler:
@@ -122,52 +132,52 @@
         return RequestHandler(self.driver, self.pool, self.config.settings, self.counters, on_dispatch)
 
     def _create_server(self) -> RpcServer:
-        memory = int(self.config.memory_bytes * CLIENT_MEMORY_SHARE)
+        buffer_memory = int(self.config.memory_bytes * CLIENT_BUFFER_MEMORY_SHARE)
         return RpcServer(
             self.handler,
             self.driver,
             self.config.settings,
-            ServerLimits(self.descriptors.clients, memory),
+            ServerLimits(self.descriptor_budget.clients, buffer_memory),
             self.counters,
             metrics=self.metrics,
         )
 
-    def _create_operator_target(self) -> OperatorTarget:
-        return OperatorTarget(self.server, self.metrics, self.ejection_control, self.update_readiness)
+    def _create_admin_target(self) -> InstanceAdminTarget:
+        return InstanceAdminTarget(self.server, self.metrics, self.ejection_control, self.update_readiness)
 
     def _create_membership(self) -> MembershipRunner | None:
         if self.config.membership is None:
             return None
         datagrams = self._open_datagrams()
-        return optional_parts.create_membership(self.config, datagrams, self.counters, self.on_fleet_resize)
+        return optional_components.create_membership(
+            self.config, datagrams, self.counters, self.on_fleet_resize
+        )
 
     def _create_control_feed(self) -> ControlFeed:
         config = self.config
-        last_number = config.known[0].number - 1 if config.known else 0
-        return ControlFeed(last_number, config.names, self.counters, self.apply_update, config.feed)
+        last_update_number = config.known[0].number - 1 if config.known else 0
+        return ControlFeed(last_update_number, config.names, self.counters, self.apply_update, config.feed)
 
     def _open_datagrams(self) -> DatagramSocket:
         if self.datagrams is None:
-            self.datagrams = optional_parts.create_datagrams(self.config, self.counters)
+            self.datagrams = optional_components.create_datagrams(self.config, self.counters)
         return self.datagrams
 
-    # Changes in one part that others must follow.
-
     def is_serving(self) -> bool:
-        """Return whether new clients should be accepted."""
+        """Return whether the instance should report itself ready for new clients."""
         has_engines = self.config.registry is None or self.endpoints.has_usable_engine()
-        is_leaving = self.shutdown_requested.is_set()
-        return has_engines and not (is_leaving or self.endpoints.is_stale or self.server.is_draining)
+        is_shutting_down = self.shutdown_requested.is_set()
+        return has_engines and not (is_shutting_down or self.endpoints.is_stale or self.server.is_draining)
 
     def update_readiness(self) -> None:
-        """Report readiness to probes, operators and programs that follow the events, as it changes."""
+        """Update the readiness that probes and operators see, and emit an event if it has changed."""
         ready = self.is_serving()
         if ready != self.server.is_ready:
             emit_event("ready", ready=ready)
         self.server.is_ready = ready
 
     def apply_update(self, update: EndpointUpdate) -> None:
-        """Pass an update of the list to all parts that know engines, the decision module last."""
+        """Pass an update of the engine list to every component concerned, the decision module last."""
         self.ejection_control.ejections.add_endpoints(update.endpoints)
         self.pool.update(update)
         if self.load_report_sender is not None:
@@ -178,44 +188,47 @@
         self.update_readiness()
 
     def submit_engine_list(self, update: api.EngineList) -> None:
-        """Submit engines whose presented state has changed to the decision module."""
+        """Pass engines whose state has changed to the decision module."""
         self.driver.submit(update)
 
-    def on_staleness_change(self, confirmed: bool) -> None:
-        """React to the registry's list being confirmed from now on, or no longer."""
+    def on_freshness_change(self, is_fresh: bool) -> None:
+        """Start or stop sending requests to engines as the registry's engine list becomes fresh or stale.
+
+        Does nothing if the configuration says to serve with a stale list.
+        """
         if self.config.registry.on_stale == "serve":
             return
-        self.driver.submit(self.endpoints.set_confirmed(confirmed))
-        if not confirmed:
+        self.driver.submit(self.endpoints.set_confirmed(is_fresh))
+        if not is_fresh:
             for engine in self.pool.engines:
                 self.pool.withdraw_unsent(engine)
-        self.handler.reject_after(None if confirmed else self.config.registry.hold)
+        self.handler.reject_after(None if is_fresh else self.config.registry.hold)
         self.update_readiness()
 
     def on_fleet_resize(self, size: int) -> None:
-        """Share the fleet's budgets by `size` instances from now on."""
+        """Divide the fleet's budgets among `size` instances from now on."""
         self.counters["share_of"] = size
         self.driver.submit(api.FleetSize(size))
         if self.connect_pacer is not None:
             self.connect_pacer.set_instance_count(size)
 
-    def dump_counters(self) -> None:
+    def log_counters(self) -> None:
         """Log all counters."""
-        if self.registry is not None:
-            self.registry.update_list_counters()
+        if self.registry_source is not None:
+            self.registry_source.update_list_counters()
         if self.membership is not None:
             self.membership.dump_state()
-        self.counters.dump()
+        self.counters.log()
 
-    def dump_counters_regularly(self) -> None:
-        """Log all counters now and every few seconds."""
-        self.dump_counters()
-        asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_SECONDS, self.dump_counters_regularly)
+    def log_counters_periodically(self) -> None:
+        """Log all counters now and at regular intervals from now on."""
+        self.log_counters()
+        asyncio.get_running_loop().call_later(COUNTERS_LOG_INTERVAL_SECONDS, self.log_counters_periodically)
 
     def start(self) -> None:
-        """Follow the list of engines and the other instances."""
+        """Start following the engine list and exchanging datagrams with the other instances."""
         self.reloader.apply_known_endpoints(self.config.known)
-        self.source.start()
+        self.endpoint_source.start()
         self.driver.start()
         if self.datagrams is not None:
             self.datagrams.start()
@@ -223,16 +236,16 @@
             self.membership.start()
 
     def leave(self) -> None:
-        """Refuse new clients, and tell the other instances."""
+        """Report the instance as not ready, and announce to the other members that it leaves."""
         self.update_readiness()
         if self.membership is not None:
             self.membership.leave()
 
     async def stop(self) -> None:
-        """Stop all parts; nothing is owed to a client any more."""
+        """Stop all components; every request must have been answered before."""
         self.driver.stop()
-        for part in (self.load_report_sender, self.membership, self.datagrams):
-            if part is not None:
-                part.stop()
-        await self.source.stop()
-        self.counters.dump()
+        for component in (self.load_report_sender, self.membership, self.datagrams):
+            if component is not None:
+                component.stop()
+        await self.endpoint_source.stop()
+        self.counters.log()
