--- a/applevale/admin/http_codec.py
+++ b/applevale/admin/http_codec.py
@@ -11,7 +11,7 @@
 from .limits import MAX_BODY_BYTES, MAX_HEADER_BYTES
 from .routes import AdminResponse
 
-MAX_ERROR_CHARACTERS = 120
+MAX_ERROR_CHARACTERS = 120  # longer error messages of h11 are truncated
 
 
 @dataclass(frozen=True)
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -68,7 +68,7 @@
         self.connect_pacer = optional_components.create_connect_pacer(
             config, self.endpoints, self.submit_engine_list, self.update_readiness
         )
-        self.registry = optional_components.create_registry_source(
+        self.registry_source = optional_components.create_registry_source(
             config, self.counters, self.apply_update, self.on_freshness_change
         )
         self.pool = self._create_pool()
@@ -85,12 +85,12 @@
         self.admin_target = self._create_admin_target()
         self.membership = self._create_membership()
         self.control_feed = self._create_control_feed()
-        self.source: EndpointSource = self.registry or self.control_feed
+        self.endpoint_source: EndpointSource = self.registry_source or self.control_feed
         self.reloader = ConfigReloader(
-            config, self.source, self.control_feed, metrics=self.metrics, counters=self.counters
+            config, self.endpoint_source, self.control_feed, metrics=self.metrics, counters=self.counters
         )
         self.shutdown = GracefulShutdown(self.server, self.handler, self.driver, config.settings)
-        if self.registry is not None:
+        if self.registry_source is not None:
             self.on_freshness_change(False)
 
     def _create_metrics(self) -> Metrics:
@@ -123,7 +123,7 @@
             local_address=self.config.local_address,
             connect_policy=self.connect_pacer,
             observer=EngineActivityObserver(self.metrics, self.load_report_sender),
-            is_list_confirmed=None if self.registry is None else self.registry.may_start_work,
+            is_list_confirmed=None if self.registry_source is None else self.registry_source.may_start_work,
         )
 
     def _create_handler(self) -> RequestHandler:
@@ -214,8 +214,8 @@
 
     def log_counters(self) -> None:
         """Log all counters."""
-        if self.registry is not None:
-            self.registry.update_list_counters()
+        if self.registry_source is not None:
+            self.registry_source.update_list_counters()
         if self.membership is not None:
             self.membership.dump_state()
         self.counters.log()
@@ -228,7 +228,7 @@
     def start(self) -> None:
         """Start following the engine list and exchanging datagrams with the other instances."""
         self.reloader.apply_known_endpoints(self.config.known)
-        self.source.start()
+        self.endpoint_source.start()
         self.driver.start()
         if self.datagrams is not None:
             self.datagrams.start()
@@ -247,5 +247,5 @@
         for component in (self.load_report_sender, self.membership, self.datagrams):
             if component is not None:
                 component.stop()
-        await self.source.stop()
+        await self.endpoint_source.stop()
         self.counters.log()
