--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -67,6 +67,7 @@
 MAX_EXAMINED_ENGINES = 6  # engines examined for one request in one pass
 MAX_CACHED_ENGINE_ORDERS = 400
 MAX_EXACT_CANDIDATES = 2  # with more candidates, instances with many peers choose by a random draw
+CANDIDATE_CLASS_SIZE = 3  # first fields of a candidate, in which equally good ones agree
 INSTANCE_HASH_BITS = 48
 TABLE_GROUP_SCALE = 16  # table groups are told apart in steps of 1 / 16
 MAX_WAITING_REQUESTS = 400
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -146,8 +146,7 @@
         self.reported_at = -inf
         self.succeeded_at = -inf
         self.probed_at = inf  # infinite without a probe in flight
-        # The cold budget accrues from now on, not from the start of the engine.
-        self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)
+        self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)  # accrues from now on
 
     def runs_table_load(self, table_group: float) -> bool:
         """Return whether an own attempt on it loads a table group, which blocks the readers."""
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -55,9 +55,9 @@
 
         Table loads take the other end of the order, since they block the readers of their tables.
         """
-        router = self._context.zone_router
         is_table_load = pending.spec.load
         order = [engine for engine in self._context.ready_engines() if pending.allows(engine.entry)]
+        router = self._context.zone_router
         tiers = {engine: router.tier(pending.request.cls, engine.entry.zone) for engine in order}
         hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine) for engine in order}
         sign = -1 if is_table_load else 1
@@ -119,7 +119,7 @@
             return Route()
         has_many_peers = self._context.settings.gateways > config.AFFINITY_ENGINES
         if has_many_peers and len(candidates) > config.MAX_EXACT_CANDIDATES:
-            best = selection.better_of_two(self._context.random, candidates, Candidate._fields.index("load"))
+            best = selection.better_of_two(self._context.random, candidates, config.CANDIDATE_CLASS_SIZE)
         else:
             best = min(candidates)
         return Route(self._context.engines[best.engine_id])
@@ -144,6 +144,7 @@
         kept: list[PendingRequest] = []
         work_ahead = 0.0
         routed_count = 0
+        not_tried = Route(may_open=True)
         for pending in self.waiting:
             if pending.is_finished:
                 continue
@@ -151,7 +152,7 @@
             is_late = is_late or (pending.attempts and pending.is_repeat_forbidden(now))
             run_time = pending.run_time * slowdowns[pending.request.cls]
             time_left = min(pending.target_at, pending.deadline) - run_time - now
-            route = Route(may_open=True)
+            route = not_tried
             if routed_count < config.MAX_ROUTED_REQUESTS and not is_late and self._attempts.has_turn(pending):
                 routed_count += 1
                 route = self._find_route_once(pending, smallest_unroutable)
