--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -9,7 +9,7 @@
 class Send:
     """Send an attempt of a request to an engine."""
 
-    request: int
+    request_id: int
     engine: int
     timeout: float = 0.0  # 0 means as long as the client waits
     announce: bool = False  # whether to tell peers, since the engine looks less loaded than most
@@ -19,7 +19,7 @@
 class Terms:
     """Set the priority and the memory of the attempts of a request."""
 
-    request: int
+    request_id: int
     priority: int
     memory_mb: float = 0.0  # 0 means that the engine chooses
 
@@ -28,7 +28,7 @@
 class Reject:
     """Reject a request: the client may send it again."""
 
-    request: int
+    request_id: int
     retry_after: float = 0.0  # delay before a retry; 0 means no advice
 
 
@@ -36,14 +36,14 @@
 class Fail:
     """Fail a request, which may have been executed."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True)
 class Cancel:
     """Cancel an attempt; its outcome is reported all the same."""
 
-    request: int
+    request_id: int
     attempt: int
 
 
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -58,11 +58,11 @@
 class Request:
     """A request of a client has come in."""
 
-    request: int  # id
-    cls: int  # index of the class in the settings
+    request_id: int
+    class_index: int  # index of the class in the settings
     tenant: int = 0  # index of the tenant in the settings
-    key: int = 0  # order key; 0 means none
-    ttl: float = 0.0  # time until the client gives up
+    order_key: int = 0  # 0 means none
+    timeout: float = 0.0  # time until the client gives up
     work: float = 0.0  # estimated time on one core; 0 means no estimate
     memory_mb: float = 0.0  # estimated memory; 0 means no estimate
     tables: float = 0.0  # number of the table group that the request uses
@@ -77,8 +77,8 @@
     It ends the wait of the next request of the key; see `Settings.order_gap`.
     """
 
-    request: int
-    key: int  # order key
+    request_id: int
+    order_key: int
     delivery_time: float  # time from now until the client has the answer in any case
 
 
@@ -86,7 +86,7 @@
 class Outcome:
     """An attempt has ended."""
 
-    request: int
+    request_id: int
     attempt: int
     engine: int
     result: Result
@@ -101,7 +101,7 @@
 class Started:
     """An attempt streams rows to the client, so that no other attempt can answer the request."""
 
-    request: int
+    request_id: int
     attempt: int
     engine: int
 
@@ -118,7 +118,7 @@
 class Note:
     """A status report on an attempt in flight."""
 
-    request: int
+    request_id: int
     attempt: int
     engine: int
     kind: NoteKind
@@ -146,7 +146,7 @@
 class ClientGone:
     """The client has cancelled the request or closed its connection."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True)
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -185,7 +185,7 @@
     def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send() | api.Terms() | api.Reject() | api.Fail() | api.Cancel():
-                handler = self.action_handlers.get(action.request)
+                handler = self.action_handlers.get(action.request_id)
                 if handler is not None:  # else the client has gone, and its attempt was cancelled
                     handler(action)
             case api.SetTimer():
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -29,15 +29,17 @@
 
     def register(self, pending: PendingRequest) -> None:
         """Add a new request."""
-        self.pending[pending.request.request] = pending
+        self.pending[pending.request.request_id] = pending
         self._retry_budget.record_ordinary(self._context.now)
-        if pending.spec.ordered and pending.request.key:
-            self.key_queues.append(pending.request.key, pending)
+        if pending.spec.ordered and pending.request.order_key:
+            self.key_queues.append(pending.request.order_key, pending)
 
     def has_turn(self, pending: PendingRequest) -> bool:
         """Return whether a request need not wait for an earlier one with its order key."""
-        has_order = pending.spec.ordered and pending.request.key
-        return not has_order or self.key_queues.has_turn(pending.request.key, pending, self._context.now)
+        has_order = pending.spec.ordered and pending.request.order_key
+        return not has_order or self.key_queues.has_turn(
+            pending.request.order_key, pending, self._context.now
+        )
 
     def may_attempt(self, pending: PendingRequest) -> bool:
         """Return whether the rules that do not depend on the engine allow another attempt now."""
@@ -63,7 +65,9 @@
         if first is not None and getattr(first.entry, spec.group) != getattr(entry, spec.group):
             return False
         now = self._context.now
-        is_zone_open = self._context.zone_router.may_take(now, pending.request.cls, entry.zone, pending.work)
+        is_zone_open = self._context.zone_router.may_take(
+            now, pending.request.class_index, entry.zone, pending.work
+        )
         # The budget of a cold engine is checked last, since each check computes it.
         return is_zone_open and engine.cold_budget_allows(pending.work, now)
 
@@ -91,7 +95,7 @@
         is_fleet_busy = self._load.thread_limits[0] < config.THREAD_LIMIT
         # Peers should hear of a send to an engine that looks less loaded than most.
         announce = is_fleet_busy and self._load.engine_load(engine) < sum(self._load.fleet_load())
-        context.actions.append(api.Send(pending.request.request, engine.entry.engine, timeout, announce))
+        context.actions.append(api.Send(pending.request.request_id, engine.entry.engine, timeout, announce))
 
     def _set_terms(self, pending: PendingRequest) -> None:
         settings = self._context.settings
@@ -99,10 +103,10 @@
             min_priority = config.MIN_TABLE_LOAD_PRIORITY if pending.spec.load else 0
             priority = max(pending.priority, min_priority)
             memory_mb = pending.grant_mb if settings.memory_heeded else 0.0
-            self._context.actions.append(api.Terms(pending.request.request, priority, memory_mb))
+            self._context.actions.append(api.Terms(pending.request.request_id, priority, memory_mb))
 
     def _attempt_in_flight(self, event: api.Outcome | api.Note) -> Attempt | None:
-        attempts = self.pending[event.request].attempts if event.request in self.pending else ()
+        attempts = self.pending[event.request_id].attempts if event.request_id in self.pending else ()
         in_flight = (attempt for attempt in attempts if not attempt.result)
         return next((attempt for attempt in in_flight if attempt.index == event.attempt), None)
 
@@ -137,7 +141,7 @@
         if engine and engine.attempts.remove(attempt, pending.spec.threads, attempt.granted_mb):
             self._learn(engine, attempt, event)
         if pending.spec.ordered and event.result in api.MAY_RUN_ON:
-            self.key_queues.pause(pending.request.key, context.now + context.settings.order_pause)
+            self.key_queues.pause(pending.request.order_key, context.now + context.settings.order_pause)
 
     def _learn(self, engine: Engine, attempt: Attempt, event: api.Outcome) -> None:
         pending = attempt.pending
@@ -170,12 +174,12 @@
 
     def on_answer_sent(self, event: api.AnswerSent) -> None:
         """Let the next request of an order key start once this answer is delivered."""
-        self.key_queues.pause(event.key, self._context.now + event.delivery_time)
+        self.key_queues.pause(event.order_key, self._context.now + event.delivery_time)
         self._delivery_time = event.delivery_time
-        if pending := self.pending.get(event.request):  # one of its attempts is in flight
+        if pending := self.pending.get(event.request_id):  # one of its attempts is in flight
             pending.is_answered = True
         else:
-            self.key_queues.blocks.discard(event.key, event.request)
+            self.key_queues.blocks.discard(event.order_key, event.request_id)
 
     def sweep(self, stall: float) -> None:
         """Answer requests near their deadlines, by the last stall (s), and cancel overdue attempts."""
@@ -210,7 +214,7 @@
             return
         engine = self._context.engines.get(attempt.entry.engine)
         self._cancel_to_retry(attempt)
-        is_blocking = pending.spec.ordered and self.key_queues.length(pending.request.key) > 1
+        is_blocking = pending.spec.ordered and self.key_queues.length(pending.request.order_key) > 1
         if is_blocking and now > pending.target_at:
             self.reject_or_fail(pending)  # its answer may never come, and others of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
@@ -227,7 +231,7 @@
     def _cancel(self, attempt: Attempt) -> None:
         if self._context.settings.may_cancel and not attempt.is_cancelled and not attempt.result:
             attempt.is_cancelled = True
-            self._context.actions.append(api.Cancel(attempt.pending.request.request, attempt.index))
+            self._context.actions.append(api.Cancel(attempt.pending.request.request_id, attempt.index))
 
     def reject_or_fail(self, pending: PendingRequest) -> None:
         """Give the final answer to a request: a rejection if a repetition is harmless, else a failure."""
@@ -236,13 +240,13 @@
         settings = self._context.settings
         random = self._context.random
         spec = pending.spec
-        action: api.Action = api.Fail(pending.request.request)
+        action: api.Action = api.Fail(pending.request.request_id)
         drops_repeats = spec.repeat is api.Repeat.KEYED and spec.group == "all"
         if drops_repeats or spec.repeat is api.Repeat.SAFE or not pending.first_executed():
             # A random delay spreads the retries of clients that are rejected together.
             delay = random.uniform(config.MIN_RETRY_AFTER_SECONDS, config.MAX_RETRY_AFTER_SECONDS)
             retry_after = min(delay, settings.max_retry_after) if settings.retry_after else 0.0
-            action = api.Reject(pending.request.request, retry_after)
+            action = api.Reject(pending.request.request_id, retry_after)
         self._context.actions.append(action)
         self.finish(pending)
 
@@ -258,11 +262,11 @@
         if pending.in_flight:
             return
         request = pending.request
-        self.pending.pop(request.request, None)
+        self.pending.pop(request.request_id, None)
         pending.attempts.clear()  # breaks a reference cycle, which only the garbage collector would free
         gap = self._context.settings.order_gap
-        if pending.spec.ordered and request.key and gap:
+        if pending.spec.ordered and request.order_key and gap:
             # The next request of its key waits until this answer is delivered, which it could overtake.
-            blocker = None if pending.is_answered else request.request
-            self.key_queues.pause(request.key, self._context.now + gap, blocker)
-        self.key_queues.drop_ended(request.key)
+            blocker = None if pending.is_answered else request.request_id
+            self.key_queues.pause(request.order_key, self._context.now + gap, blocker)
+        self.key_queues.drop_ended(request.order_key)
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -117,8 +117,8 @@
             engine.entry = entry
 
     def _on_request(self, request: api.Request) -> None:
-        is_known = request.request in self.attempts.pending
-        if is_known or not 0 <= request.cls < len(self.context.classes):
+        is_known = request.request_id in self.attempts.pending
+        if is_known or not 0 <= request.class_index < len(self.context.classes):
             return
         pending = PendingRequest(request, self.context, self.admission.value_factor(request.tenant))
         self.attempts.register(pending)
@@ -145,9 +145,9 @@
             self.outliers.eject(engine, f"probe: {event.result.value}")
 
     def _on_started(self, event: api.Started) -> None:
-        if pending := self.attempts.pending.get(event.request):
+        if pending := self.attempts.pending.get(event.request_id):
             pending.is_streaming = True
 
     def _on_client_gone(self, event: api.ClientGone) -> None:
-        if pending := self.attempts.pending.get(event.request):
+        if pending := self.attempts.pending.get(event.request_id):
             self.attempts.finish(pending)
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -32,9 +32,9 @@
     def __init__(self, request: api.Request, context: Context, value_factor: float):
         """Create a request that comes in now; `value_factor` is lower beyond its tenant's quota."""
         self.request = request
-        self.stats = context.classes[request.cls]
+        self.stats = context.classes[request.class_index]
         self.spec = self.stats.spec
-        self.deadline = context.now + max(0.0, estimators.finite_or(request.ttl, self.spec.deadline))
+        self.deadline = context.now + max(0.0, estimators.finite_or(request.timeout, self.spec.deadline))
         self.max_stall_margin = config.MAX_STALL_MARGIN_SHARE * (self.deadline - context.now)
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # attempts without a result
@@ -59,7 +59,7 @@
         context.value_density.add(self.value, self.stats.work.mean.value)
         density = context.value_density.density(self.value, self.work)
         self.priority = sum(density >= least_density for least_density in config.PRIORITY_DENSITIES)
-        self.queue_key = (-self.value / self.work, context.now, request.request)
+        self.queue_key = (-self.value / self.work, context.now, request.request_id)
 
     def allows(self, entry: api.EngineEntry) -> bool:
         """Return whether the placement rules of its class allow an engine."""
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -46,7 +46,7 @@
     def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
         """Return the engines that a request may run on, in its order of preference."""
         table_group = int(pending.request.tables * config.TABLE_GROUP_SCALE)
-        key = (table_group, pending.request.cls)
+        key = (table_group, pending.request.class_index)
         order = self.engine_orders.get(key)
         return self.engine_orders.put(key, self._order(pending, table_group)) if order is None else order
 
@@ -58,7 +58,7 @@
         router = self._context.zone_router
         is_table_load = pending.spec.load
         order = [engine for engine in self._context.ready_engines() if pending.allows(engine.entry)]
-        tiers = {engine: router.tier(pending.request.cls, engine.entry.zone) for engine in order}
+        tiers = {engine: router.tier(pending.request.class_index, engine.entry.zone) for engine in order}
         hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine) for engine in order}
         sign = -1 if is_table_load else 1
         order.sort(key=lambda engine: (tiers[engine], sign * hashes[engine]))
@@ -101,7 +101,7 @@
                 return Route(engine)
             fits = new_load <= max(limit, idle_limit)
             if fits or (is_short and load < config.OVERFULL_LOAD):
-                tier = self._context.zone_router.tier(pending.request.cls, engine.entry.zone)
+                tier = self._context.zone_router.tier(pending.request.class_index, engine.entry.zone)
                 is_remote = position >= config.AFFINITY_ENGINES or not fits
                 candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine))
         return self._select(candidates)
@@ -149,7 +149,7 @@
                 continue
             is_late = now > pending.final_answer_at(stall)
             is_late = is_late or (pending.attempts and pending.is_repeat_forbidden(now))
-            run_time = pending.run_time * slowdowns[pending.request.cls]
+            run_time = pending.run_time * slowdowns[pending.request.class_index]
             time_left = min(pending.target_at, pending.deadline) - run_time - now
             route = Route(may_open=True)
             if routed_count < config.MAX_ROUTED_REQUESTS and not is_late and self._attempts.has_turn(pending):
@@ -162,7 +162,7 @@
             misses_target = not is_exempt and work_ahead > max(0.0, time_left) * work_rate
             is_hopeless = misses_target and not route.may_open
             # The router is also asked for a late request: it notices by the call that time has passed.
-            is_rejected = is_hopeless or router.is_saturated(now, pending.request.cls, pending.work)
+            is_rejected = is_hopeless or router.is_saturated(now, pending.request.class_index, pending.work)
             if is_rejected or is_late or (time_left < 0 and not route.may_open):
                 self._attempts.reject_or_fail(pending)
             else:
@@ -173,7 +173,7 @@
     def _find_route_once(self, pending: PendingRequest, smallest_unroutable: dict) -> Route:
         """Return a route, without a search where a similar, smaller request found none in this pass."""
         is_comparable = not pending.attempts and not pending.waits_for_memory
-        key = (pending.request.cls, pending.request.tables, pending.priority)
+        key = (pending.request.class_index, pending.request.tables, pending.priority)
         if is_comparable and pending.work >= smallest_unroutable.get(key, inf):
             return Route()  # engines only fill up during a pass
         route = self.find_route(pending)
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -188,13 +188,23 @@
 
 
 def _decode_request(fields: memoryview) -> api.Request:
-    request, cls, tenant, key, ttl_ns, work_ns, memory_mb, tables, options = REQUEST.unpack_from(fields)
+    (
+        request_id,
+        class_index,
+        tenant,
+        order_key,
+        timeout_ns,
+        work_ns,
+        memory_mb,
+        tables,
+        options,
+    ) = REQUEST.unpack_from(fields)
     return api.Request(
-        request=request,
-        cls=cls,
+        request_id=request_id,
+        class_index=class_index,
         tenant=tenant,
-        key=key,
-        ttl=ttl_ns / NANOSECONDS_PER_SECOND,
+        order_key=order_key,
+        timeout=timeout_ns / NANOSECONDS_PER_SECOND,
         work=work_ns / NANOSECONDS_PER_SECOND if options & HAS_WORK_ESTIMATE else 0.0,
         memory_mb=_non_negative(memory_mb),
         tables=tables if isfinite(tables) else 0.0,
@@ -203,9 +213,9 @@
 
 
 def _decode_outcome(fields: memoryview) -> api.Outcome:
-    request, attempt, engine, status, duration_ns, final, note = OUTCOME.unpack_from(fields)
+    request_id, attempt, engine, status, duration_ns, final, note = OUTCOME.unpack_from(fields)
     return api.Outcome(
-        request=request,
+        request_id=request_id,
         attempt=attempt,
         engine=engine,
         result=RESULTS.get(status, api.Result.ERROR),
@@ -218,15 +228,15 @@
 
 
 def _decode_started(fields: memoryview) -> api.Started:
-    request, attempt, engine = STARTED.unpack_from(fields)
-    return api.Started(request, attempt, engine)
+    request_id, attempt, engine = STARTED.unpack_from(fields)
+    return api.Started(request_id, attempt, engine)
 
 
 def _decode_note(fields: memoryview) -> api.Note | None:
-    request, engine, kind, value, attempt = NOTE.unpack_from(fields)
+    request_id, engine, kind, value, attempt = NOTE.unpack_from(fields)
     if kind not in NOTE_KINDS:
         return None
-    return api.Note(request, attempt, engine, api.NoteKind(kind), _non_negative(value))
+    return api.Note(request_id, attempt, engine, api.NoteKind(kind), _non_negative(value))
 
 
 def _decode_probe_result(fields: memoryview) -> api.ProbeResult:
@@ -243,8 +253,8 @@
 
 
 def _decode_client_gone(fields: memoryview) -> api.ClientGone:
-    (request,) = REQUEST_ID.unpack_from(fields)
-    return api.ClientGone(request)
+    (request_id,) = REQUEST_ID.unpack_from(fields)
+    return api.ClientGone(request_id)
 
 
 def _decode_peer_message(fields: memoryview) -> api.PeerMessage:
--- a/applevale/simulator_wire/encoder.py
+++ b/applevale/simulator_wire/encoder.py
@@ -53,23 +53,25 @@
 
 
 def _encode_send(action: api.Send) -> bytes:
-    return _encode_record(ActionCode.SEND, SEND.pack(action.request, _to_ns(action.timeout), action.engine))
+    return _encode_record(
+        ActionCode.SEND, SEND.pack(action.request_id, _to_ns(action.timeout), action.engine)
+    )
 
 
 def _encode_terms(action: api.Terms) -> bytes:
-    return _encode_record(ActionCode.TERMS, TERMS.pack(action.request, action.memory_mb, action.priority))
+    return _encode_record(ActionCode.TERMS, TERMS.pack(action.request_id, action.memory_mb, action.priority))
 
 
 def _encode_reject(action: api.Reject) -> bytes:
-    return _encode_record(ActionCode.REJECT, REJECT.pack(action.request, _to_ns(action.retry_after)))
+    return _encode_record(ActionCode.REJECT, REJECT.pack(action.request_id, _to_ns(action.retry_after)))
 
 
 def _encode_fail(action: api.Fail) -> bytes:
-    return _encode_record(ActionCode.FAIL, REQUEST_ID.pack(action.request))
+    return _encode_record(ActionCode.FAIL, REQUEST_ID.pack(action.request_id))
 
 
 def _encode_cancel(action: api.Cancel) -> bytes:
-    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request, action.attempt))
+    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request_id, action.attempt))
 
 
 def _encode_probe(action: api.Probe) -> bytes:
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -64,7 +64,7 @@
 
     def _serve_request(self, number: int) -> None:
         api = self.api
-        request = api.Request(number, 0, ttl=4.0, work=0.2, memory_mb=50.0, tables=float(number % 40))
+        request = api.Request(number, 0, timeout=4.0, work=0.2, memory_mb=50.0, tables=float(number % 40))
         actions = self.controller.handle(self.now, [request])
         # A version that probes first gets its answers, else its requests would pile up in the queue.
         while probed := [action.engine for action in actions if isinstance(action, api.Probe)]:
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -80,8 +80,8 @@
             **fields: Other fields of `api.Request`.
         """
         request_id = next(self.ids)
-        ttl = timeout or self.settings.classes[class_index].deadline
-        request = api.Request(request_id, class_index, ttl=ttl, work=work, memory_mb=memory, **fields)
+        timeout = timeout or self.settings.classes[class_index].deadline
+        request = api.Request(request_id, class_index, timeout=timeout, work=work, memory_mb=memory, **fields)
         return request_id, self.handle(request)
 
     def send_request(self, *arguments, **fields) -> api.Send:
@@ -113,7 +113,7 @@
         used_work = work if is_completed else 0.0
         used_memory = memory if is_completed else 0.0
         outcome = api.Outcome(
-            send.request,
+            send.request_id,
             attempt,
             send.engine,
             result,
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -52,20 +52,20 @@
 
     def on_request(self, now, request):
         """Record a new request."""
-        self.requests[request.request] = (now, request)
-        self.attempts[request.request] = []
+        self.requests[request.request_id] = (now, request)
+        self.attempts[request.request_id] = []
         self.arrivals.append(now)
-        if self.settings.classes[request.cls].ordered and request.key:
+        if self.settings.classes[request.class_index].ordered and request.order_key:
             self.ordered_requests.append(request)
 
     def on_outcome(self, now, outcome):
         """Record the end of an attempt."""
-        self.attempts[outcome.request][outcome.attempt].result = outcome.result
-        _, request = self.requests[outcome.request]
-        if self.settings.classes[request.cls].ordered and outcome.result in POSSIBLY_RUNNING:
-            self.paused_until[request.key] = now + self.settings.order_pause
+        self.attempts[outcome.request_id][outcome.attempt].result = outcome.result
+        _, request = self.requests[outcome.request_id]
+        if self.settings.classes[request.class_index].ordered and outcome.result in POSSIBLY_RUNNING:
+            self.paused_until[request.order_key] = now + self.settings.order_pause
         if outcome.final:
-            self.on_end(now, outcome.request)
+            self.on_end(now, outcome.request_id)
 
     def on_end(self, now, request_id):
         """Record the final answer to a request, or that its client is gone."""
@@ -76,48 +76,48 @@
         """Check an action and record it."""
         if isinstance(action, api.Cancel):
             assert self.settings.may_cancel
-            assert action.attempt < len(self.attempts[action.request])
+            assert action.attempt < len(self.attempts[action.request_id])
         elif isinstance(action, api.Probe):
             assert self.settings.may_probe
         elif isinstance(action, api.SendPeerMessage):
             assert self.settings.may_tell_peers
         elif isinstance(action, (api.Reject, api.Fail)):
             self._check_answer(now, action)
-            self.on_end(now, action.request)
+            self.on_end(now, action.request_id)
         elif isinstance(action, api.Send):
             self._check_send(now, action)
             zone = self.engines[action.engine].zone
-            self.attempts[action.request].append(AttemptRecord(now, zone))
+            self.attempts[action.request_id].append(AttemptRecord(now, zone))
 
     def _check_answer(self, now, action):
-        arrived_at, request = self.requests[action.request]
-        due = arrived_at + request.ttl + self.settings.answer_slack
+        arrived_at, request = self.requests[action.request_id]
+        due = arrived_at + request.timeout + self.settings.answer_slack
         is_after_stall = self.stall_start <= due and now == self.stall_end
         assert now <= due or is_after_stall, "the final answer is too late"
-        spec = self.settings.classes[request.cls]
+        spec = self.settings.classes[request.class_index]
         is_repeatable = spec.repeat is api.Repeat.SAFE
         is_repeatable |= spec.repeat is not api.Repeat.UNSAFE and spec.group == "all"
         if isinstance(action, api.Reject) and not is_repeatable:
-            results = [attempt.result for attempt in self.attempts[action.request]]
+            results = [attempt.result for attempt in self.attempts[action.request_id]]
             assert all(result in NEVER_EXECUTED for result in results), (
                 "a request that may have been executed was rejected"
             )
 
     def _check_send(self, now, send):
-        assert send.request not in self.ended_at, "the request was sent after its end"
-        _, request = self.requests[send.request]
-        spec = self.settings.classes[request.cls]
+        assert send.request_id not in self.ended_at, "the request was sent after its end"
+        _, request = self.requests[send.request_id]
+        spec = self.settings.classes[request.class_index]
         entry = self.engines[send.engine]
         unready_since = self.unready_since.get(send.engine, now)
         assert now <= unready_since + self.settings.drain_grace, "the request was sent to a draining engine"
         assert spec.kinds is None or entry.kind in spec.kinds, "the machine kind is not allowed for the class"
         assert spec.zones is None or entry.zone in spec.zones, "the zone is not allowed for the class"
-        attempts = self.attempts[send.request]
+        attempts = self.attempts[send.request_id]
         assert len(attempts) < self.settings.try_limit, "the request has too many attempts"
         is_alone = all(attempt.result for attempt in attempts)
         assert self.settings.parallel_tries or is_alone, "two attempts of the request are in flight at once"
         self._check_repetition(now, spec, entry, attempts)
-        if spec.ordered and request.key:
+        if spec.ordered and request.order_key:
             self._check_order(now, request)
         if attempts:
             self._check_retry_budget(now)
@@ -135,15 +135,15 @@
             )
 
     def _check_order(self, now, request):
-        assert self.paused_until.get(request.key, 0) <= now, (
+        assert self.paused_until.get(request.order_key, 0) <= now, (
             "a request was sent while its order key was paused"
         )
         for other in self.ordered_requests:
             if other is request:
                 break
-            if other.key == request.key:
-                assert other.request in self.ended_at, "an earlier request of the order key has not ended"
-                attempts = self.attempts[other.request]
+            if other.order_key == request.order_key:
+                assert other.request_id in self.ended_at, "an earlier request of the order key has not ended"
+                attempts = self.attempts[other.request_id]
                 assert all(attempt.result for attempt in attempts), (
                     "an earlier request of the order key is in flight"
                 )
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -30,11 +30,11 @@
             requests = []
             for _ in range(max(1, 40 // count)):
                 number += 1
-                requests.append(api.Request(number, 0, ttl=4.0, work=WORK, memory_mb=10.0))
+                requests.append(api.Request(number, 0, timeout=4.0, work=WORK, memory_mb=10.0))
             for action in controller.handle(now, tuple(requests)):
                 if isinstance(action, api.Send):
                     sent.append(now)
-                    outcome = api.Outcome(action.request, 0, 1, api.Result.OK, 0.1, True, WORK, 10.0)
+                    outcome = api.Outcome(action.request_id, 0, 1, api.Result.OK, 0.1, True, WORK, 10.0)
                     controller.handle(now, (outcome,))
         now += STEP
     assert len(sent) > 50
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -57,7 +57,7 @@
     assert not actions_of(api.Send, actions)
     driver.now += 0.1
     actions = driver.handle(api.EngineList(tuple(api.EngineEntry(n) for n in range(1, 1001)), whole=True))
-    assert [send.request for send in actions_of(api.Send, actions)] == [waiting]
+    assert [send.request_id for send in actions_of(api.Send, actions)] == [waiting]
     driver.finish(first)
     driver.finish(actions_of(api.Send, actions)[0])
     assert not driver.controller.attempts.pending and len(driver.controller.engines) == 1000
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -21,7 +21,7 @@
     answer_times = [
         time
         for time, action in driver.log
-        if isinstance(action, (api.Reject, api.Fail)) and action.request == request_id
+        if isinstance(action, (api.Reject, api.Fail)) and action.request_id == request_id
     ]
     assert len(answer_times) == 1
     assert answer_times[0] < 102.0
@@ -32,7 +32,7 @@
     send = driver.send_request(1, work=1.0, tables=1.0)
     driver.now += 3.0
     driver.timers.clear()
-    outcome = api.Outcome(send.request, 0, send.engine, api.Result.OK, 0.4, True, 1.0, 50.0)
+    outcome = api.Outcome(send.request_id, 0, send.engine, api.Result.OK, 0.4, True, 1.0, 50.0)
     actions = driver.handle(api.Timer(0), outcome)
     assert not actions_of(api.Cancel, actions)
     assert not actions_of(api.Log, actions)
@@ -49,7 +49,9 @@
     submitted_at = driver.now
     driver.run(5.0)
     (rejected_at,) = [
-        time for time, action in driver.log if isinstance(action, api.Reject) and action.request == request_id
+        time
+        for time, action in driver.log
+        if isinstance(action, api.Reject) and action.request_id == request_id
     ]
     assert rejected_at < submitted_at + 4.0 - 1.0
 
@@ -75,9 +77,9 @@
     )
     not_a_number = float("nan")
     infinity = float("inf")
-    infinite_request = api.Request(5000, 0, ttl=4.0, work=not_a_number, memory_mb=infinity)
+    infinite_request = api.Request(5000, 0, timeout=4.0, work=not_a_number, memory_mb=infinity)
     assert actions_of(api.Send, driver.handle(infinite_request))
-    negative_request = api.Request(5001, 0, ttl=4.0, work=-3.0, memory_mb=-1.0)
+    negative_request = api.Request(5001, 0, timeout=4.0, work=-3.0, memory_mb=-1.0)
     assert actions_of(api.Send, driver.handle(negative_request))
 
 
@@ -158,7 +160,7 @@
         driver.finish(sends[0])
         (retry, *_) = actions_of(api.Send, driver.finish(sends[1], api.Result.RESET))
         for send, attempt in [(retry, 1), *((send, 0) for send in sends[2:])]:
-            driver.handle(api.ClientGone(send.request))
+            driver.handle(api.ClientGone(send.request_id))
             driver.finish(send, api.Result.CANCELLED, attempt=attempt)
         gc.collect()
         assert not driver.controller.attempts.pending
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -47,7 +47,7 @@
         driver.report_load(1, memory_used=0.95)
         later_actions += driver.run(0.1)
     rejections = actions_of(api.Reject, later_actions)
-    assert [rejection.request for rejection in rejections] == [request_id]
+    assert [rejection.request_id for rejection in rejections] == [request_id]
     assert rejections[0].retry_after > 0
     assert not actions_of(api.Send, later_actions)
 
@@ -71,7 +71,7 @@
 
 def test_a_timeout_of_zero_does_not_mean_the_deadline_of_the_class():
     driver = PolicyDriver()
-    request = api.Request(900, 0, ttl=0.0, work=0.2)
+    request = api.Request(900, 0, timeout=0.0, work=0.2)
     assert actions_of(api.Reject, driver.handle(request))
 
 
--- a/tests/test_policy_cold_start.py
+++ b/tests/test_policy_cold_start.py
@@ -36,8 +36,8 @@
             request_id, actions = driver.submit(work=work, tables=1.0)
             works[request_id] = work
             for send in actions_of(api.Send, actions):
-                sent.append((driver.now, works[send.request]))
-                driver.finish(send, work=works[send.request])
+                sent.append((driver.now, works[send.request_id]))
+                driver.finish(send, work=works[send.request_id])
             driver.now += random.expovariate(100.0 / gateways)
     assert sent
     for start, _ in sent:
--- a/tests/test_policy_probes.py
+++ b/tests/test_policy_probes.py
@@ -17,7 +17,7 @@
     (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first one had no answer
     assert second_probe.engine != first_probe.engine
     actions = driver.handle(api.ProbeResult(second_probe.engine, api.Result.OK, report=IDLE_REPORT))
-    sends = [(send.request, send.engine) for send in actions_of(api.Send, actions)]
+    sends = [(send.request_id, send.engine) for send in actions_of(api.Send, actions)]
     assert sends == [(request_id, second_probe.engine)]
 
 
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -90,7 +90,7 @@
             driver.finish(send, work=0.1 * scale)
         lost = driver.send_request(work=0.1 * scale)
         cancels = actions_of(api.Cancel, driver.run(0.75 * scale))
-        assert [cancel.request for cancel in cancels] == [lost.request]
+        assert [cancel.request_id for cancel in cancels] == [lost.request_id]
 
 
 def test_attempts_on_a_silent_engine_are_cancelled_and_retried_on_another_one():
@@ -104,7 +104,7 @@
             if send.engine != silent.engine:
                 driver.finish(send)
         cancels += actions_of(api.Cancel, driver.run(0.0))
-    assert (silent.request, 0) in [(cancel.request, cancel.attempt) for cancel in cancels]
+    assert (silent.request_id, 0) in [(cancel.request_id, cancel.attempt) for cancel in cancels]
     retries = actions_of(api.Send, driver.finish(silent, Result.CANCELLED))
     assert all(retry.engine != silent.engine for retry in retries)
 
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -67,7 +67,7 @@
         engines_of_readers |= {send.engine for send in actions_of(api.Send, actions)}
         request_id, actions = driver.submit(1, tables=4.0, work=3.0)
         engines_of_table_loads |= {send.engine for send in actions_of(api.Send, actions)}
-        priorities |= {terms.priority for terms in driver.logged(api.Terms) if terms.request == request_id}
+        priorities |= {terms.priority for terms in driver.logged(api.Terms) if terms.request_id == request_id}
     assert len(engines_of_readers) == 3
     assert len(engines_of_table_loads) > 3
     assert not engines_of_readers & engines_of_table_loads
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -113,17 +113,17 @@
                 self._cancel_attempt(now, action)
 
     def _begin_attempt(self, now, send):
-        arrived_at, request = self.checker.requests[send.request]
-        limit = min(now + (send.timeout or 99.0), arrived_at + request.ttl)
+        arrived_at, request = self.checker.requests[send.request_id]
+        limit = min(now + (send.timeout or 99.0), arrived_at + request.timeout)
         duration = self.random.expovariate(3.0) * (100.0 if self.random.random() < 0.08 else 1.0)
         ends_at = now + duration
-        attempt = len(self.checker.attempts[send.request]) - 1
+        attempt = len(self.checker.attempts[send.request_id]) - 1
         result = None if ends_at < limit else Result.TIMEOUT
         self.attempts.append(AttemptInFlight(min(ends_at, limit), send, attempt, result))
 
     def _cancel_attempt(self, now, cancel):
         for attempt in self.attempts:
-            if attempt.send.request == cancel.request and attempt.attempt == cancel.attempt:
+            if attempt.send.request_id == cancel.request_id and attempt.attempt == cancel.attempt:
                 attempt.ends_at = now + CANCEL_SECONDS
                 attempt.result = Result.CANCELLED
 
@@ -137,7 +137,7 @@
         """End the attempts that are due; `weight_of_ok` is the weight of success among the results."""
         for item in self.take_due(self.attempts):
             result = item.result or self._draw_result(weight_of_ok)
-            request_id = item.send.request
+            request_id = item.send.request_id
             final = request_id in self.checker.ended_at or result is Result.OK
             self.checker.ended_at.pop(request_id, None)
             report = tuple(self.random.choice([0.5, -1.0, 1e9]) for _ in self.driver.settings.report_columns)
@@ -180,8 +180,8 @@
             api.Request(
                 request_id,
                 class_index,
-                key=self.random.randrange(3),
-                ttl=timeout,
+                order_key=self.random.randrange(3),
+                timeout=timeout,
                 work=self.random.expovariate(2.0),
                 memory_mb=self.random.expovariate(0.002),
                 tables=float(self.random.randrange(12)),
@@ -222,7 +222,7 @@
         self.driver.now += STEP_SECONDS
         self.fire_timers()
         for item in self.take_due(self.attempts):
-            request_id = item.send.request
+            request_id = item.send.request_id
             final = request_id in self.checker.ended_at
             self.checker.ended_at.pop(request_id, None)
             result = item.result or Result.TIMEOUT
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -49,10 +49,10 @@
         "82020000000300 1e30000000 c4913a5d92aa0c00 0000 00000000 640ad2557c3bf091 001c4e0e00000000"
         "001bb70000000000 0000c043 00003041 0100"
     )
-    assert event.cls == 0
-    assert event.key == 0x91F03B7C55D20A64
+    assert event.class_index == 0
+    assert event.order_key == 0x91F03B7C55D20A64
     assert event.memory_mb == 384.0
-    assert event.ttl == pytest.approx(0.24)
+    assert event.timeout == pytest.approx(0.24)
     assert event.work == pytest.approx(0.012)
     assert event.tables == 11.0
 
@@ -91,7 +91,7 @@
     assert probe.engine == 0x2C9011F2
     assert len(probe.report) == 4
     assert timer.token == 77
-    assert client_gone.request == 0x030E310E6F2B19
+    assert client_gone.request_id == 0x030E310E6F2B19
     assert peer_message == api.PeerMessage(2, b"hi 7")
     assert isinstance(shutdown, decoder.Shutdown)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -215,13 +215,15 @@
     driver.lose(0)
     request_ids = iter(range(10_000, 20_000))
     requests = [
-        api.Request(next(request_ids), cls=number % 2 * 2, ttl=4.0, work=1.0, tables=float(number))
+        api.Request(
+            next(request_ids), class_index=number % 2 * 2, timeout=4.0, work=1.0, tables=float(number)
+        )
         for number in range(200)
     ]
     actions = driver.handle(*requests)
-    sent = [send.request for send in actions_of(api.Send, actions)]
+    sent = [send.request_id for send in actions_of(api.Send, actions)]
     rejections = actions_of(api.Reject, actions)
-    classes = {request.request: request.cls for request in requests}
+    classes = {request.request_id: request.class_index for request in requests}
     assert sent and all(classes[request_id] == 0 for request_id in sent)
     assert len(rejections) > 100 and all(rejection.retry_after > 0 for rejection in rejections)
 
