--- a/applevale/admin/ejections.py
+++ b/applevale/admin/ejections.py
@@ -50,7 +50,7 @@
     def add_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
         """Register endpoints, so that `find` knows them by instance id and HOST:PORT."""
         for endpoint in endpoints:
-            engine = endpoint.entry.engine
+            engine = endpoint.entry.engine_id
             self._engines_by_name[format_instance_id(engine)] = engine
             self._engines_by_name[format_address(endpoint.address)] = engine
 
--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -10,7 +10,7 @@
     """Send an attempt of a request to an engine."""
 
     request_id: int
-    engine: int
+    engine_id: int
     timeout: float = 0.0  # 0 means as long as the client waits
     announce: bool = False  # whether to tell peers, since the engine looks less loaded than most
 
@@ -51,7 +51,7 @@
 class Probe:
     """Ask an engine for a load report."""
 
-    engine: int
+    engine_id: int
 
 
 @dataclass(frozen=True)
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -36,13 +36,13 @@
 class EngineEntry:
     """One engine of the engine list; zone and kind are indices into the settings."""
 
-    engine: int
+    engine_id: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
     size: float = 1.0  # number of cores, if the settings state none for its kind
     state: State = State.READY
-    started: float = 0.0  # Unix time of its last start; 0 means long ago
+    started_at: float = 0.0  # Unix time of its last start; 0 means long ago
 
 
 @dataclass(frozen=True)
@@ -88,13 +88,13 @@
 
     request_id: int
     attempt: int
-    engine: int
+    engine_id: int
     result: Result
     duration: float = 0.0
-    final: bool = False  # whether it ends the request
+    is_final: bool = False  # whether it ends the request
     work: float = 0.0  # time on one core that was used; 0 if unknown
     memory_mb: float = 0.0  # memory that was used; 0 if unknown
-    report: tuple[float, ...] = ()  # load report, in the order of `Settings.report_columns`
+    load_report: tuple[float, ...] = ()  # in the order of `Settings.report_columns`
 
 
 @dataclass(frozen=True)
@@ -103,7 +103,7 @@
 
     request_id: int
     attempt: int
-    engine: int
+    engine_id: int
 
 
 class NoteKind(Enum):
@@ -120,7 +120,7 @@
 
     request_id: int
     attempt: int
-    engine: int
+    engine_id: int
     kind: NoteKind
     value: float = 0.0  # as described at `NoteKind`
 
@@ -129,10 +129,10 @@
 class ProbeResult:
     """A probe has been answered, or has failed."""
 
-    engine: int
+    engine_id: int
     result: Result
     duration: float = 0.0
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -161,15 +161,15 @@
 class FleetSize:
     """The number of instances that share the fleet's budgets, in place of the one in the settings."""
 
-    gateways: int
+    instance_count: int
 
 
 @dataclass(frozen=True)
 class PeerLoadReport:
     """What another instance has sent to an engine, and the load report that it got from there."""
 
-    engine: int
-    report: tuple[float, ...] = ()  # load report, as in an outcome
+    engine_id: int
+    load_report: tuple[float, ...] = ()  # as in an outcome
     threads: int = 0  # threads of the attempts that it has just sent there
 
 
--- a/applevale/cli/registry.py
+++ b/applevale/cli/registry.py
@@ -59,7 +59,7 @@
         record = {
             "key": entry.key,
             "revision": entry.revision,
-            "id": format_instance_id(entry.endpoint.entry.engine),
+            "id": format_instance_id(entry.endpoint.entry.engine_id),
             "state": entry.endpoint.entry.state.value,
             "address": format_address(entry.endpoint.address),
         }
@@ -163,5 +163,5 @@
 
 def _print_update(update: EndpointUpdate) -> None:
     for endpoint in update.endpoints:
-        engine_id = format_instance_id(endpoint.entry.engine)
+        engine_id = format_instance_id(endpoint.entry.engine_id)
         typer.echo(f"{engine_id} {endpoint.entry.state.value:9} {format_address(endpoint.address)}")
--- a/applevale/discovery/feed_codec.py
+++ b/applevale/discovery/feed_codec.py
@@ -113,13 +113,13 @@
             attributes = f"state {record.state}, zone {record.zone}, kind {record.kind}"
             raise FeedError(f"unknown attribute of engine {record.engine:08x}: {attributes}", number)
         entry = api.EngineEntry(
-            engine=record.engine,
+            engine_id=record.engine,
             zone=record.zone,
             kind=record.kind,
             cell=record.cell,
             size=record.weight / 1000,
             state=_STATE_BY_CODE[record.state],
-            started=record.started / 1000,
+            started_at=record.started / 1000,
         )
         return Endpoint(entry, (str(ipaddress.ip_address(record.host)), record.port))
 
@@ -170,12 +170,12 @@
     if not isfinite(weight) or weight < 0:
         raise FeedError(f"weight: a finite number of 0 or more is needed, not {weight!r}")
     entry = api.EngineEntry(
-        engine=parse_instance_id(instance["instanceId"]),
+        engine_id=parse_instance_id(instance["instanceId"]),
         zone=names.zones.index(instance["zone"]) if "zone" in instance else 0,
         kind=names.kinds.index(instance["machineType"]) if "machineType" in instance else 0,
         cell=int(instance.get("cell", 0)),
         size=weight,
         state=_STATE_BY_LIFECYCLE[instance["lifecycle"]],
-        started=int(instance.get("startedAtMs", 0)) / 1000,
+        started_at=int(instance.get("startedAtMs", 0)) / 1000,
     )
     return Endpoint(entry, (str(ipaddress.ip_address(host)), int(port)))
--- a/applevale/discovery/registry/endpoint_table.py
+++ b/applevale/discovery/registry/endpoint_table.py
@@ -118,7 +118,7 @@
 
     def _carry_over(self, entry: TableEntry) -> None:
         """Add an entry of the previous list."""
-        engine = entry.endpoint.entry.engine
+        engine = entry.endpoint.entry.engine_id
         self.entries[entry.key] = entry
         self._record_keys.setdefault(engine, set()).add(entry.key)
         self._listed_key.setdefault(engine, entry.key)
@@ -126,10 +126,10 @@
     def _store(self, entry: TableEntry) -> list[TableEntry]:
         """Store a valid record, and return the entries of engines whose listing has changed."""
         key = entry.key
-        engine = entry.endpoint.entry.engine
+        engine = entry.endpoint.entry.engine_id
         previous = self.entries.get(key)
         changed = []
-        if previous is not None and previous.endpoint.entry.engine != engine:
+        if previous is not None and previous.endpoint.entry.engine_id != engine:
             changed = self._remove(key, entry.revision)
         self.entries[key] = entry
         self._record_keys.setdefault(engine, set()).add(key)
@@ -147,7 +147,7 @@
         entry = self.entries.pop(key, None)
         if entry is None:
             return []
-        engine = entry.endpoint.entry.engine
+        engine = entry.endpoint.entry.engine_id
         other_keys = self._record_keys[engine]
         other_keys.discard(key)
         if self._listed_key.get(engine) != key:
@@ -166,7 +166,7 @@
 def endpoints_digest(endpoints: Iterable[Endpoint]) -> int:
     """Return a checksum for comparing the lists of instances; the order of endpoints does not matter."""
     rows = sorted(
-        f"{endpoint.entry.engine:08x} {endpoint.entry.state.value} {endpoint.address}"
+        f"{endpoint.entry.engine_id:08x} {endpoint.entry.state.value} {endpoint.address}"
         for endpoint in endpoints
     )
     return crc32("\n".join(rows).encode())
--- a/applevale/discovery/registry/records.py
+++ b/applevale/discovery/registry/records.py
@@ -71,13 +71,13 @@
     record = _decode(value)
     address = _parse_address(record.address)
     entry = api.EngineEntry(
-        engine=parse_instance_id(record.id),
+        engine_id=parse_instance_id(record.id),
         zone=_index_of_name(record.zone, names.zones, "zone"),
         kind=_index_of_name(record.kind, names.kinds, "kind"),
         cell=record.cell,
         size=record.weight,
         state=_STATE_BY_NAME[record.state],
-        started=record.started,
+        started_at=record.started,
     )
     return Endpoint(entry, address)
 
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -192,7 +192,7 @@
                 loop = asyncio.get_running_loop()
                 loop.call_later(action.after, self.submit, api.Timer(action.token))
             case api.Probe():
-                self.prober.probe(action.engine)
+                self.prober.probe(action.engine_id)
             case api.Log():
                 log_event("module", action.text)
             case _:
--- a/applevale/dispatch/event_queue.py
+++ b/applevale/dispatch/event_queue.py
@@ -17,7 +17,7 @@
             if event.whole:
                 whole = True
                 entries.clear()
-            entries.update((entry.engine, entry) for entry in event.entries)
+            entries.update((entry.engine_id, entry) for entry in event.entries)
     others = [event for event in events if not isinstance(event, api.EngineList)]
     return [api.EngineList(tuple(entries.values()), whole), *others]
 
@@ -42,12 +42,12 @@
 
     def add_load_report(self, report: api.PeerLoadReport) -> None:
         """Add a peer's load report, merged with an earlier one for the same engine."""
-        earlier = self._load_reports.get(report.engine, report)
+        earlier = self._load_reports.get(report.engine_id, report)
         if earlier is not report:
             report = api.PeerLoadReport(
-                report.engine, report.report or earlier.report, report.threads + earlier.threads
+                report.engine_id, report.load_report or earlier.load_report, report.threads + earlier.threads
             )
-        self._load_reports[report.engine] = report
+        self._load_reports[report.engine_id] = report
 
     def take(self) -> list[api.Event]:
         """Remove and return all events: load reports first, then the others with list updates merged."""
--- a/applevale/engines/engine.py
+++ b/applevale/engines/engine.py
@@ -28,20 +28,20 @@
     def __init__(self, pool: EnginePool, endpoint: Endpoint) -> None:
         """Create an engine of the list without connections."""
         self.pool = pool
-        self.engine_id = endpoint.entry.engine
+        self.engine_id = endpoint.entry.engine_id
         self.address = endpoint.address
         self.state = endpoint.entry.state
-        self.started_at = endpoint.entry.started
+        self.started_at = endpoint.entry.started_at
         self.connections: list[EngineConnection] = []
 
     def update(self, endpoint: Endpoint) -> None:
         """Apply a new entry of the list for this engine."""
         entry = endpoint.entry
-        is_replaced = (entry.started, endpoint.address) != (self.started_at, self.address)
+        is_replaced = (entry.started_at, endpoint.address) != (self.started_at, self.address)
         if is_replaced or entry.state is State.GONE:
             self._drain_connections()  # they belong to an earlier process of the engine
         self.state = entry.state
-        self.started_at = entry.started
+        self.started_at = entry.started_at
         self.address = endpoint.address
         if self.state is not State.READY:
             self.withdraw_unsent()
--- a/applevale/engines/pool.py
+++ b/applevale/engines/pool.py
@@ -122,7 +122,7 @@
 
     def update(self, update: EndpointUpdate) -> None:
         """Apply a change of the engine list."""
-        listed = {endpoint.entry.engine for endpoint in update.endpoints}
+        listed = {endpoint.entry.engine_id for endpoint in update.endpoints}
         new_owners = self._apply_endpoints(update.endpoints)
         # All engines of a long list are visited only if the update may concern any of them.
         affected = self.engines if update.is_full or new_owners else self.unlisted | listed
@@ -139,7 +139,7 @@
         """Create and update engines; return the ids of the new ones by address."""
         new_owners: dict[tuple[str, int], int] = {}
         for endpoint in endpoints:
-            engine_id = endpoint.entry.engine
+            engine_id = endpoint.entry.engine_id
             engine = self.engines.get(engine_id)
             if engine is None:
                 self.engines[engine_id] = Engine(self, endpoint)
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -95,7 +95,9 @@
         is_fleet_busy = self._load.thread_limits[0] < config.THREAD_LIMIT
         # Peers should hear of a send to an engine that looks less loaded than most.
         announce = is_fleet_busy and self._load.engine_load(engine) < sum(self._load.fleet_load())
-        context.actions.append(api.Send(pending.request.request_id, engine.entry.engine, timeout, announce))
+        context.actions.append(
+            api.Send(pending.request.request_id, engine.entry.engine_id, timeout, announce)
+        )
 
     def _set_terms(self, pending: PendingRequest) -> None:
         settings = self._context.settings
@@ -117,7 +119,7 @@
             return None
         pending = attempt.pending
         self._end_attempt(attempt, event)
-        if event.final or event.result is api.Result.OK:
+        if event.is_final or event.result is api.Result.OK:
             self.finish(pending)
         elif pending.is_finished:
             self._forget_if_ended(pending)
@@ -137,7 +139,7 @@
         pending.in_flight -= 1
         self._load.threads_in_flight -= pending.spec.threads
         context.zone_router.on_result(context.now, attempt.entry, event.result)
-        engine = context.engines.get(attempt.entry.engine)
+        engine = context.engines.get(attempt.entry.engine_id)
         if engine and engine.attempts.remove(attempt, pending.spec.threads, attempt.granted_mb):
             self._learn(engine, attempt, event)
         if pending.spec.ordered and event.result in api.MAY_RUN_ON:
@@ -146,8 +148,8 @@
     def _learn(self, engine: Engine, attempt: Attempt, event: api.Outcome) -> None:
         pending = attempt.pending
         now = self._context.now
-        if event.report:
-            self._load.apply_report(engine, event.report)
+        if event.load_report:
+            self._load.apply_report(engine, event.load_report)
         self._outliers.on_attempt_result(engine, attempt, event.result)
         if event.result is api.Result.OK:
             run_time = now - attempt.running_since
@@ -155,7 +157,7 @@
             self._load.threads_per_query.add(now, pending.spec.threads, run_time)
             self._admission.learn(pending, engine, met_pressure)
         if engine.entry.state is api.State.GONE and not engine.attempts.items:
-            del self._context.engines[engine.entry.engine]
+            del self._context.engines[engine.entry.engine_id]
 
     def on_note(self, event: api.Note) -> None:
         """Handle a status report on an attempt: record memory pressure, cancel a slow attempt."""
@@ -212,7 +214,7 @@
         now = self._context.now
         if attempt.result is not None or now - attempt.running_since <= self.overdue_after(attempt):
             return
-        engine = self._context.engines.get(attempt.entry.engine)
+        engine = self._context.engines.get(attempt.entry.engine_id)
         self._cancel_to_retry(attempt)
         is_blocking = pending.spec.ordered and self.key_queues.length(pending.request.order_key) > 1
         if is_blocking and now > pending.target_at:
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -82,7 +82,7 @@
             self.attempts.sweep(self._stalls.recent(self.context.now))
 
     def _on_fleet_size(self, event: api.FleetSize) -> None:
-        self.context.settings = replace(self.context.settings, gateways=event.gateways)
+        self.context.settings = replace(self.context.settings, gateways=event.instance_count)
 
     def _on_engine_list(self, event: api.EngineList) -> None:
         context = self.context
@@ -92,10 +92,10 @@
             context.actions.append(api.SetTimer(delay, config.SUBSCRIBE_TIMER_TOKEN))
             return
         self._subscribe_backoff.reset()
-        entries = {entry.engine: entry for entry in event.entries}
+        entries = {entry.engine_id: entry for entry in event.entries}
         if event.whole:
             missing = [engine.entry for engine_id, engine in self.engines.items() if engine_id not in entries]
-            entries |= {entry.engine: replace(entry, state=api.State.GONE) for entry in missing}
+            entries |= {entry.engine_id: replace(entry, state=api.State.GONE) for entry in missing}
         for entry in entries.values():
             # The instances see a new engine together: their budgets for it begin with different debts.
             initial_debt = context.random.random() * context.value_density.mean_cost.value
@@ -106,12 +106,12 @@
         context.zone_router.on_engine_list(context.now, ready)
 
     def _apply_entry(self, entry: api.EngineEntry, initial_debt: float) -> None:
-        engine = self.engines.get(entry.engine)
+        engine = self.engines.get(entry.engine_id)
         if entry.state is api.State.GONE and not (engine and engine.attempts.items):
-            self.engines.pop(entry.engine, None)
+            self.engines.pop(entry.engine_id, None)
         elif engine is None:
-            self.engines[entry.engine] = Engine(entry, self.context, initial_debt)
-        elif entry.started > engine.entry.started:
+            self.engines[entry.engine_id] = Engine(entry, self.context, initial_debt)
+        elif entry.started_at > engine.entry.started_at:
             engine.reset(entry, initial_debt)
         else:
             engine.entry = entry
@@ -134,13 +134,13 @@
             self.scheduler.enqueue(pending)
 
     def _on_probe_result(self, event: api.ProbeResult) -> None:
-        engine = self.engines.get(event.engine)
+        engine = self.engines.get(event.engine_id)
         if engine is None:
             return
         engine.probed_at = inf
         self.context.zone_router.on_result(self.context.now, engine.entry, event.result)
         if event.result in (api.Result.OK, api.Result.FULL):  # full: too many probes, not a failure
-            self.load.apply_report(engine, event.report)
+            self.load.apply_report(engine, event.load_report)
         elif self.outliers.record_failure(engine, event.result):
             self.outliers.eject(engine, f"probe: {event.result.value}")
 
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -55,7 +55,7 @@
 
     def engine_load(self, engine: Engine) -> float:
         """Return the load of an engine by all instances."""
-        engine_id = engine.entry.engine
+        engine_id = engine.entry.engine_id
         if engine_id not in self._peer_load_by_engine:
             self._peer_load_by_engine[engine_id] = self._estimate_peer_load(engine)
         return engine.attempts.threads / engine.cores + self._peer_load_by_engine[engine_id]
@@ -72,11 +72,11 @@
 
     def on_peer_report(self, event: api.PeerLoadReport) -> None:
         """Add what a peer has sent to an engine, and the load report that the peer got from there."""
-        if engine := self._context.engines.get(event.engine):
+        if engine := self._context.engines.get(event.engine_id):
             engine.peer_sends.add(self._context.now, event.threads / engine.cores)
             self._fleet_peer_sends.add(self._context.now, event.threads)
-            if event.report:
-                self.apply_report(engine, event.report)
+            if event.load_report:
+                self.apply_report(engine, event.load_report)
 
     def apply_report(self, engine: Engine, values: tuple[float, ...]) -> None:
         """Apply a load report of an engine, with its values in the order of the settings' columns."""
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -162,14 +162,14 @@
     def capacity_share(self, now: float) -> float:
         """Return the share of its full capacity that it has; it grows to 1 during the warm-up."""
         settings = self.context.settings
-        age = now - self.entry.started
-        is_warm = self.entry.started <= 0 or age >= settings.warm_up * config.WARM_UP_MARGIN
+        age = now - self.entry.started_at
+        is_warm = self.entry.started_at <= 0 or age >= settings.warm_up * config.WARM_UP_MARGIN
         return 1.0 if is_warm else estimators.quadratic_ramp(age, settings.warm_up, settings.cold_share)
 
     def cold_budget_allows(self, work: float, now: float) -> bool:
         """Return whether it may get this much work (s); there is no limit after the warm-up."""
         capacity_share = self.capacity_share(now)
-        if self.entry.started <= 0 or capacity_share >= 1.0:
+        if self.entry.started_at <= 0 or capacity_share >= 1.0:
             return True
         settings = self.context.settings
         fleet_rate = settings.fall_multiple * capacity_share * self.cores * config.COLD_CAPACITY_FACTOR
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -39,7 +39,7 @@
         if not is_in_flight and self._context.settings.may_probe:
             engine.probed_at = now
             self._probe_budget -= 1
-            self._context.actions.append(api.Probe(engine.entry.engine))
+            self._context.actions.append(api.Probe(engine.entry.engine_id))
         return engine.probed_at <= now <= engine.probed_at + config.PROBE_WAIT_SECONDS
 
     def on_attempt_result(self, engine: Engine, attempt: Attempt, result: api.Result) -> None:
@@ -69,7 +69,7 @@
         return engine.health.record_failure(is_conclusive, config.MAX_CONSECUTIVE_RESETS)
 
     def _revoke_ejection(self, attempt: Attempt) -> None:
-        engine = self._context.engines.get(attempt.entry.engine)
+        engine = self._context.engines.get(attempt.entry.engine_id)
         if engine and attempt.caused_ejection and engine.health.consecutive_failures <= 1:
             engine.health.close()
 
@@ -82,4 +82,4 @@
         if may_eject and not engine.health.is_open(now):
             is_first_ejection = engine.health.open(now)
             if is_first_ejection:
-                self._context.actions.append(api.Log(f"engine {engine.entry.engine} rests: {reason}"))
+                self._context.actions.append(api.Log(f"engine {engine.entry.engine_id} rests: {reason}"))
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -59,7 +59,7 @@
         is_table_load = pending.spec.load
         order = [engine for engine in self._context.ready_engines() if pending.allows(engine.entry)]
         tiers = {engine: router.tier(pending.request.class_index, engine.entry.zone) for engine in order}
-        hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine) for engine in order}
+        hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine_id) for engine in order}
         sign = -1 if is_table_load else 1
         order.sort(key=lambda engine: (tiers[engine], sign * hashes[engine]))
         if order and self._context.settings.gateways > 1:
@@ -75,7 +75,7 @@
         """Return the engine that a request is sent to now; may send a probe, or eject a silent engine."""
         if not self._attempts.may_attempt(pending):
             return Route()
-        tried = {attempt.entry.engine for attempt in pending.attempts}
+        tried = {attempt.entry.engine_id for attempt in pending.attempts}
         is_short = pending.priority >= config.TOP_PRIORITY and not pending.waits_for_memory
         limit = self._load.thread_limits[pending.priority]
         first_choice_limit = min(limit, config.THREAD_LIMIT if is_short else config.AFFINITY_LOAD)
@@ -96,14 +96,14 @@
             idle_limit = config.LIMIT_TOLERANCE * added_load
             may_test_engine = is_short and pending.is_safely_repeatable()
             is_avoided = engine.health.on_probation and not may_test_engine
-            is_last_resort = engine.entry.engine in tried or is_avoided
+            is_last_resort = engine.entry.engine_id in tried or is_avoided
             if not is_last_resort and new_load <= max(first_choice_limit, idle_limit):
                 return Route(engine)
             fits = new_load <= max(limit, idle_limit)
             if fits or (is_short and load < config.OVERFULL_LOAD):
                 tier = self._context.zone_router.tier(pending.request.class_index, engine.entry.zone)
                 is_remote = position >= config.AFFINITY_ENGINES or not fits
-                candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine))
+                candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine_id))
         return self._select(candidates)
 
     def _is_blocked(self, pending: PendingRequest, engine: Engine) -> bool:
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -190,19 +190,19 @@
     def _send_attempt(self, send: api.Send) -> None:
         loop = asyncio.get_running_loop()
         pool = self._environment.pool
-        record = AttemptRecord(self.attempt_count, send.engine, self._driver.now())
+        record = AttemptRecord(self.attempt_count, send.engine_id, self._driver.now())
         self.attempt_count += 1
         timeout = min(send.timeout or inf, self.time_remaining())
         spec = self._attempt_spec(timeout, self._start_window(timeout, record.sent_at))
         on_end = partial(self._on_attempt_end, record)
-        attempt = pool.start_attempt(send.engine, spec, self.used_connections, on_end)
+        attempt = pool.start_attempt(send.engine_id, spec, self.used_connections, on_end)
         if attempt.connection is not None:
             # A late or repeated reply to this attempt would be taken for the reply to a later one on the same
             # connection.
             self.used_connections.add(attempt.connection)
         if not attempt.is_finished:
             if send.announce:
-                self._environment.on_dispatch(send.engine, self._spec.threads)
+                self._environment.on_dispatch(send.engine_id, self._spec.threads)
             self.in_flight = attempt
             record.timeout_timer = loop.call_later(max(0.0, timeout), attempt.cancel, api.Result.TIMEOUT)
 
@@ -278,7 +278,7 @@
             event = self.inbox.get_nowait()
             if isinstance(event, api.Send):
                 # The admission controller counts the attempt as in flight until it gets an outcome.
-                outcome = api.Outcome(self.number, self.attempt_count, event.engine, api.Result.MOOT)
+                outcome = api.Outcome(self.number, self.attempt_count, event.engine_id, api.Result.MOOT)
                 self._driver.submit(outcome)
                 self.attempt_count += 1
         if self.in_flight is not None:
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -166,15 +166,15 @@
 
 
 def _decode_list_entry(fields: memoryview, offset: int) -> api.EngineEntry:
-    zone, started_ns, state, cell, size, kind, engine = LIST_ENTRY.unpack_from(fields, offset)
+    zone, started_ns, state, cell, size, kind, engine_id = LIST_ENTRY.unpack_from(fields, offset)
     return api.EngineEntry(
-        engine=engine,
+        engine_id=engine_id,
         zone=zone,
         kind=kind,
         cell=cell,
         size=_non_negative(size),
         state=STATES.get(state, api.State.DRAINING),
-        started=started_ns / NANOSECONDS_PER_SECOND,
+        started_at=started_ns / NANOSECONDS_PER_SECOND,
     )
 
 
@@ -213,37 +213,37 @@
 
 
 def _decode_outcome(fields: memoryview) -> api.Outcome:
-    request_id, attempt, engine, status, duration_ns, final, note = OUTCOME.unpack_from(fields)
+    request_id, attempt, engine_id, status, duration_ns, is_final, note = OUTCOME.unpack_from(fields)
     return api.Outcome(
         request_id=request_id,
         attempt=attempt,
-        engine=engine,
+        engine_id=engine_id,
         result=RESULTS.get(status, api.Result.ERROR),
         duration=duration_ns / NANOSECONDS_PER_SECOND,
-        final=bool(final),
+        is_final=bool(is_final),
         work=(note >> WORK_SHIFT) / MS_PER_SECOND,
         memory_mb=(note & MEMORY_MASK) * MEMORY_UNIT_MB,
-        report=_decode_report(fields, OUTCOME.size),
+        load_report=_decode_report(fields, OUTCOME.size),
     )
 
 
 def _decode_started(fields: memoryview) -> api.Started:
-    request_id, attempt, engine = STARTED.unpack_from(fields)
-    return api.Started(request_id, attempt, engine)
+    request_id, attempt, engine_id = STARTED.unpack_from(fields)
+    return api.Started(request_id, attempt, engine_id)
 
 
 def _decode_note(fields: memoryview) -> api.Note | None:
-    request_id, engine, kind, value, attempt = NOTE.unpack_from(fields)
+    request_id, engine_id, kind, value, attempt = NOTE.unpack_from(fields)
     if kind not in NOTE_KINDS:
         return None
-    return api.Note(request_id, attempt, engine, api.NoteKind(kind), _non_negative(value))
+    return api.Note(request_id, attempt, engine_id, api.NoteKind(kind), _non_negative(value))
 
 
 def _decode_probe_result(fields: memoryview) -> api.ProbeResult:
-    engine, status, duration_ns = PROBE_RESULT.unpack_from(fields)
+    engine_id, status, duration_ns = PROBE_RESULT.unpack_from(fields)
     result = RESULTS.get(status, api.Result.ERROR)
     return api.ProbeResult(
-        engine, result, duration_ns / NANOSECONDS_PER_SECOND, _decode_report(fields, PROBE_RESULT.size)
+        engine_id, result, duration_ns / NANOSECONDS_PER_SECOND, _decode_report(fields, PROBE_RESULT.size)
     )
 
 
--- a/applevale/simulator_wire/encoder.py
+++ b/applevale/simulator_wire/encoder.py
@@ -54,7 +54,7 @@
 
 def _encode_send(action: api.Send) -> bytes:
     return _encode_record(
-        ActionCode.SEND, SEND.pack(action.request_id, _to_ns(action.timeout), action.engine)
+        ActionCode.SEND, SEND.pack(action.request_id, _to_ns(action.timeout), action.engine_id)
     )
 
 
@@ -75,7 +75,7 @@
 
 
 def _encode_probe(action: api.Probe) -> bytes:
-    return _encode_record(ActionCode.PROBE, ENGINE_ID.pack(action.engine))
+    return _encode_record(ActionCode.PROBE, ENGINE_ID.pack(action.engine_id))
 
 
 def _encode_set_timer(action: api.SetTimer) -> bytes:
--- a/applevale/zones/zone_router.py
+++ b/applevale/zones/zone_router.py
@@ -126,7 +126,7 @@
         engine_ids: dict[int, set[int]] = {zone: set() for zone in self.zones}
         ready_cores = dict.fromkeys(self.zones, 0.0)
         for entry, cores in engines:
-            engine_ids[entry.zone].add(entry.engine)
+            engine_ids[entry.zone].add(entry.engine_id)
             ready_cores[entry.zone] += cores
         for zone, state in self.zones.items():
             if state.ready_cores and not ready_cores[zone]:
@@ -154,7 +154,7 @@
         is_failure = result in FAILURES
         if not is_success and not is_failure:
             return
-        state.health.record_result(now, entry.engine, is_success)
+        state.health.record_result(now, entry.engine_id, is_success)
         state.recovery.record_result(now, is_success)
         if is_failure:
             health_by_zone = {zone: other.health for zone, other in self.zones.items()}
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -12,6 +12,7 @@
 import subprocess
 import sys
 import time
+from operator import attrgetter
 from pathlib import Path
 from typing import Any
 
@@ -43,6 +44,10 @@
         from applevale.policy import AdmissionController
 
         self.api: Any = api
+        # Fields are found by their positions, since other versions have other names for some of them.
+        self.probed_engine = attrgetter(api.Probe.__match_args__[0])
+        self.receiving_engine = attrgetter(api.Send.__match_args__[1])
+        self.engine_states = type(api.EngineEntry(1).state)
         known = api.Settings.__dataclass_fields__
         settings = api.Settings(
             classes=(api.ClassSpec(name="lookup", aim=0.75, aim_stretch=2.0, deadline=4.0, worth=1.0),),
@@ -64,14 +69,15 @@
 
     def _serve_request(self, number: int) -> None:
         api = self.api
-        request = api.Request(number, 0, timeout=4.0, work=0.2, memory_mb=50.0, tables=float(number % 40))
+        request = api.Request(number, 0, 0, 0, 4.0, 0.2, 50.0, float(number % 40))
         actions = self.controller.handle(self.now, [request])
         # A version that probes first gets its answers, else its requests would pile up in the queue.
-        while probed := [action.engine for action in actions if isinstance(action, api.Probe)]:
+        while probed := [self.probed_engine(action) for action in actions if isinstance(action, api.Probe)]:
             results = [api.ProbeResult(engine, api.Result.OK, 0.001, (5.0,)) for engine in probed]
             actions = self.controller.handle(self.now, results)
         for send in (action for action in actions if isinstance(action, api.Send)):
-            outcome = api.Outcome(number, 0, send.engine, api.Result.OK, 0.1, True, 0.2, 40.0, (5.0,))
+            engine = self.receiving_engine(send)
+            outcome = api.Outcome(number, 0, engine, api.Result.OK, 0.1, True, 0.2, 40.0, (5.0,))
             self.controller.handle(self.now + 0.05, [outcome])
 
     def time_list_events(self) -> float:
@@ -80,7 +86,7 @@
         started_at = time.perf_counter()
         for turn in range(LIST_EVENT_COUNT):
             self.now += INTERVAL_SECONDS
-            state = api.State.DRAINING if turn % 2 == 0 else api.State.READY
+            state = self.engine_states.DRAINING if turn % 2 == 0 else self.engine_states.READY
             self.controller.handle(self.now, [api.EngineList((api.EngineEntry(1, state=state),))])
         return (time.perf_counter() - started_at) / LIST_EVENT_COUNT * MICROSECONDS
 
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -109,16 +109,16 @@
             **fields: Other fields of `api.Outcome`.
         """
         is_completed = result is api.Result.OK
-        final = fields.pop("final", is_completed)
+        is_final = fields.pop("is_final", is_completed)
         used_work = work if is_completed else 0.0
         used_memory = memory if is_completed else 0.0
         outcome = api.Outcome(
             send.request_id,
             attempt,
-            send.engine,
+            send.engine_id,
             result,
             ATTEMPT_SECONDS,
-            final,
+            is_final,
             used_work,
             used_memory,
             **fields,
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -44,11 +44,11 @@
 
     def on_entry(self, now, entry):
         """Record an entry of the list of engines."""
-        self.engines[entry.engine] = entry
+        self.engines[entry.engine_id] = entry
         if entry.state is api.State.READY:
-            self.unready_since.pop(entry.engine, None)
+            self.unready_since.pop(entry.engine_id, None)
         else:
-            self.unready_since.setdefault(entry.engine, now)
+            self.unready_since.setdefault(entry.engine_id, now)
 
     def on_request(self, now, request):
         """Record a new request."""
@@ -64,7 +64,7 @@
         _, request = self.requests[outcome.request_id]
         if self.settings.classes[request.class_index].ordered and outcome.result in POSSIBLY_RUNNING:
             self.paused_until[request.order_key] = now + self.settings.order_pause
-        if outcome.final:
+        if outcome.is_final:
             self.on_end(now, outcome.request_id)
 
     def on_end(self, now, request_id):
@@ -86,7 +86,7 @@
             self.on_end(now, action.request_id)
         elif isinstance(action, api.Send):
             self._check_send(now, action)
-            zone = self.engines[action.engine].zone
+            zone = self.engines[action.engine_id].zone
             self.attempts[action.request_id].append(AttemptRecord(now, zone))
 
     def _check_answer(self, now, action):
@@ -107,8 +107,8 @@
         assert send.request_id not in self.ended_at, "the request was sent after its end"
         _, request = self.requests[send.request_id]
         spec = self.settings.classes[request.class_index]
-        entry = self.engines[send.engine]
-        unready_since = self.unready_since.get(send.engine, now)
+        entry = self.engines[send.engine_id]
+        unready_since = self.unready_since.get(send.engine_id, now)
         assert now <= unready_since + self.settings.drain_grace, "the request was sent to a draining engine"
         assert spec.kinds is None or entry.kind in spec.kinds, "the machine kind is not allowed for the class"
         assert spec.zones is None or entry.zone in spec.zones, "the zone is not allowed for the class"
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -18,7 +18,7 @@
 def test_all_instances_together_stay_within_the_budget_of_a_cold_engine(count, seed):
     """For N requests that the settings allow in a window, at most N + 2 x sqrt(N) + 2 are sent."""
     settings = make_settings(gateways=count, cold_share=0.33, warm_up=15.0, fall=1.5, fall_multiple=4.0)
-    entry = api.EngineEntry(1, started=100.0)
+    entry = api.EngineEntry(1, started_at=100.0)
     fleet = [AdmissionController(settings, 100 * seed + index) for index in range(count)]
     sent = []
     number = 0
@@ -51,7 +51,7 @@
         settings = make_settings(gateways=size)
         fleet = [AdmissionController(settings, seed) for seed in range(size)]
         for controller in fleet:
-            controller.handle(100.0, (api.EngineList((api.EngineEntry(1, started=100.0),), whole=True),))
+            controller.handle(100.0, (api.EngineList((api.EngineEntry(1, started_at=100.0),), whole=True),))
         engines = [controller.engines[1] for controller in fleet]
         for engine in engines:
             engine.cold_budget.level = -1e9
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -115,7 +115,7 @@
 
     run_driver(controller, steps)
     (event,) = controller.batches[1]
-    assert event.engine == 3 and event.result is api.Result.CONNECT_FAILED
+    assert event.engine_id == 3 and event.result is api.Result.CONNECT_FAILED
 
 
 def test_a_request_without_a_decision_is_rejected_before_its_timeout():
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -124,10 +124,10 @@
     assert short_engine_id(same_short_id) == short_engine_id(1)
     reports = load_reports((1, same_short_id))
     dispatch = dispatch_datagram(reports, 1, 2)
-    assert [event.engine for event in reports.receive(0.0, dispatch)] == [1, same_short_id]
+    assert [event.engine_id for event in reports.receive(0.0, dispatch)] == [1, same_short_id]
     report = report_datagram(reports, 0.0, 1, (5.0, 0.0, 0.0))
     reports.set_engines((same_short_id,))
-    assert [event.engine for event in reports.receive(0.0, dispatch)] == [same_short_id]
+    assert [event.engine_id for event in reports.receive(0.0, dispatch)] == [same_short_id]
     assert not reports.latest_reports
     reports.set_engines(())
     assert reports.receive(0.0, dispatch) == []
@@ -151,8 +151,12 @@
     except LoadReportError:
         assert not reports.latest_reports
         return
-    assert all(event.engine in (1, 2) and 0 <= event.threads <= 255 for event in events)
-    assert all(0 <= event.report[0] <= 254 or event.report[0] == -1 for event in events if event.report)
+    assert all(event.engine_id in (1, 2) and 0 <= event.threads <= 255 for event in events)
+    assert all(
+        0 <= event.load_report[0] <= 254 or event.load_report[0] == -1
+        for event in events
+        if event.load_report
+    )
 
 
 def policy_driver(**changes):
@@ -194,7 +198,7 @@
     """If each of 40 instances sent a first request at once, the engine would be overloaded."""
     send_count = 0
     for seed in range(40):
-        entry = api.EngineEntry(1, started=97.0)  # It started 3 s before it is listed.
+        entry = api.EngineEntry(1, started_at=97.0)  # It started 3 s before it is listed.
         driver = policy_driver(entries=(entry,), seed=seed)
         send_count += len(actions_of(api.Send, driver.submit(0, work=0.3, tables=1.0)[1]))
     assert send_count == 0
@@ -210,7 +214,7 @@
             api.PeerLoadReport(1, (2.0,)), *(api.PeerLoadReport(number, (24.0,)) for number in (2, 3, 4))
         )
     sends = [actions_of(api.Send, driver.submit(0, work=0.1, tables=float(group))[1]) for group in range(12)]
-    assert {send.engine: send.announce for actions in sends for send in actions}[1]
+    assert {send.engine_id: send.announce for actions in sends for send in actions}[1]
 
 
 def test_dispatches_spread_evenly_do_not_raise_the_estimated_load_of_any_engine():
@@ -237,7 +241,7 @@
     for seed in range(12):
         driver = policy_driver(engines=6, seed=seed)
         driver.handle(*(api.PeerLoadReport(number, (8.0 + number / 4,)) for number in range(1, 7)))
-        chosen_engines.add(actions_of(api.Send, driver.submit(0, work=0.1, tables=1.0)[1])[0].engine)
+        chosen_engines.add(actions_of(api.Send, driver.submit(0, work=0.1, tables=1.0)[1])[0].engine_id)
     assert len(chosen_engines) > 1
 
 
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -71,7 +71,7 @@
     driver.handle(api.EngineList((api.EngineEntry(1, state=GONE),)))
     driver.handle(api.PeerLoadReport(1, (40.0,), 8))  # from a peer that still has the older list
     assert 1 not in driver.controller.engines
-    driver.handle(api.EngineList((api.EngineEntry(1, started=driver.now - 0.5),)))
+    driver.handle(api.EngineList((api.EngineEntry(1, started_at=driver.now - 0.5),)))
     driver.controller.load.start_batch()
     assert driver.controller.load.engine_load(driver.controller.engines[1]) < 2
     assert driver.controller.engines[1].capacity_share(driver.now) < 0.5
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -32,7 +32,7 @@
     send = driver.send_request(1, work=1.0, tables=1.0)
     driver.now += 3.0
     driver.timers.clear()
-    outcome = api.Outcome(send.request_id, 0, send.engine, api.Result.OK, 0.4, True, 1.0, 50.0)
+    outcome = api.Outcome(send.request_id, 0, send.engine_id, api.Result.OK, 0.4, True, 1.0, 50.0)
     actions = driver.handle(api.Timer(0), outcome)
     assert not actions_of(api.Cancel, actions)
     assert not actions_of(api.Log, actions)
@@ -142,10 +142,10 @@
 def test_a_removed_engine_is_kept_until_its_attempts_have_ended():
     driver = PolicyDriver(engines=2)
     send = driver.send_request()
-    driver.handle(api.EngineList((api.EngineEntry(send.engine, state=api.State.GONE),)))
-    assert send.engine in driver.controller.engines
+    driver.handle(api.EngineList((api.EngineEntry(send.engine_id, state=api.State.GONE),)))
+    assert send.engine_id in driver.controller.engines
     driver.finish(send)
-    assert send.engine not in driver.controller.engines
+    assert send.engine_id not in driver.controller.engines
     assert len(driver.controller.engines) == 1
 
 
--- a/tests/test_policy_cold_start.py
+++ b/tests/test_policy_cold_start.py
@@ -17,7 +17,7 @@
 
 def make_cold_driver(seed, gateways):
     """Return a driver with one engine that starts at START."""
-    entries = (api.EngineEntry(1, started=START),)
+    entries = (api.EngineEntry(1, started_at=START),)
     return PolicyDriver(entries=entries, seed=seed, gateways=gateways, **COLD_SETTINGS)
 
 
--- a/tests/test_policy_probes.py
+++ b/tests/test_policy_probes.py
@@ -15,10 +15,10 @@
     (first_probe,) = actions_of(api.Probe, actions)
     assert not actions_of(api.Send, actions)
     (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first one had no answer
-    assert second_probe.engine != first_probe.engine
-    actions = driver.handle(api.ProbeResult(second_probe.engine, api.Result.OK, report=IDLE_REPORT))
-    sends = [(send.request_id, send.engine) for send in actions_of(api.Send, actions)]
-    assert sends == [(request_id, second_probe.engine)]
+    assert second_probe.engine_id != first_probe.engine_id
+    actions = driver.handle(api.ProbeResult(second_probe.engine_id, api.Result.OK, load_report=IDLE_REPORT))
+    sends = [(send.request_id, send.engine_id) for send in actions_of(api.Send, actions)]
+    assert sends == [(request_id, second_probe.engine_id)]
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
         driver.now += 0.5
         _, actions = driver.submit(1, work=3.0, tables=float(group))
         for probe in actions_of(api.Probe, actions):
-            driver.handle(api.ProbeResult(probe.engine, api.Result.OK, report=BUSY_REPORT))
+            driver.handle(api.ProbeResult(probe.engine_id, api.Result.OK, load_report=BUSY_REPORT))
     assert min_count < len(driver.logged(api.Probe)) <= 100 * max_per_request + 4
 
 
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -25,7 +25,7 @@
     first = driver.send_request()
     retries = actions_of(api.Send, driver.finish(first, Result.CONNECT_FAILED))
     assert retries
-    assert retries[0].engine != first.engine
+    assert retries[0].engine_id != first.engine_id
 
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
@@ -37,7 +37,7 @@
     driver.now += 0.3
     retries = actions_of(api.Send, driver.finish(first, Result.RESET))
     assert retries
-    assert retries[0].engine % 2 == first.engine % 2
+    assert retries[0].engine_id % 2 == first.engine_id % 2
     driver.now += 0.8
     actions = driver.finish(retries[0], Result.RESET, attempt=1)
     assert not actions_of(api.Send, actions)
@@ -101,12 +101,12 @@
         driver.now += 0.1
         _, actions = driver.submit(tables=float(step % 5))
         for send in actions_of(api.Send, actions):
-            if send.engine != silent.engine:
+            if send.engine_id != silent.engine_id:
                 driver.finish(send)
         cancels += actions_of(api.Cancel, driver.run(0.0))
     assert (silent.request_id, 0) in [(cancel.request_id, cancel.attempt) for cancel in cancels]
     retries = actions_of(api.Send, driver.finish(silent, Result.CANCELLED))
-    assert all(retry.engine != silent.engine for retry in retries)
+    assert all(retry.engine_id != silent.engine_id for retry in retries)
 
 
 def test_attempts_become_overdue_later_with_scattered_run_times_and_with_each_attempt():
@@ -124,7 +124,7 @@
 def test_an_attempt_with_little_progress_is_cancelled_before_it_is_overdue():
     driver = PolicyDriver(progress=0.5)
     request_id, _ = driver.submit(1, work=3.0)
-    engine = driver.pending_request(request_id).attempts[0].entry.engine
+    engine = driver.pending_request(request_id).attempts[0].entry.engine_id
     driver.run(0.7)
     assert not driver.handle(api.Note(request_id, 0, engine, api.NoteKind.PROGRESS, 0.5))
     actions = driver.handle(api.Note(request_id, 0, engine, api.NoteKind.PROGRESS, 0.01))
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -11,8 +11,8 @@
     engines_by_seed = []
     for seed in (1, 2):
         driver = PolicyDriver(engines=7, seed=seed)
-        engines_by_seed.append([driver.send_request(tables=float(group)).engine for group in range(20)])
-        assert len({driver.send_request(tables=3.0).engine for _ in range(3)}) == 1
+        engines_by_seed.append([driver.send_request(tables=float(group)).engine_id for group in range(20)])
+        assert len({driver.send_request(tables=3.0).engine_id for _ in range(3)}) == 1
     assert engines_by_seed[0] == engines_by_seed[1]
     assert len(set(engines_by_seed[0])) > 3
 
@@ -25,14 +25,14 @@
         send_after = after.send_request(tables=float(group))
         before.finish(send_before)
         after.finish(send_after)
-        assert send_before.engine in (send_after.engine, 7)
+        assert send_before.engine_id in (send_after.engine_id, 7)
 
 
 def test_a_draining_engine_gets_no_new_requests():
     driver = PolicyDriver(engines=2)
     driver.handle(api.EngineList((api.EngineEntry(1, state=api.State.DRAINING),)))
     for group in range(20):
-        assert driver.send_request(tables=float(group), work=0.05).engine == 2
+        assert driver.send_request(tables=float(group), work=0.05).engine_id == 2
 
 
 def test_placement_rules_hold_even_if_the_only_allowed_engine_fails():
@@ -40,19 +40,19 @@
     entries = (api.EngineEntry(1, kind=0), api.EngineEntry(2, kind=1))
     driver = PolicyDriver(entries=entries, classes=(LOOKUP, bound))
     send = driver.send_request(1, work=1.0)
-    assert send.engine == 2
+    assert send.engine_id == 2
     later_actions = driver.finish(send, api.Result.ERROR) + driver.run(3.0)
-    assert all(send.engine == 2 for send in actions_of(api.Send, later_actions))
+    assert all(send.engine_id == 2 for send in actions_of(api.Send, later_actions))
 
 
 def test_another_engine_is_selected_if_the_preferred_one_is_busy():
     driver = PolicyDriver(engines=3, gateways=100)
     request_id, _ = driver.submit(tables=2.0)
     request = driver.pending_request(request_id)
-    preferred = driver.controller.scheduler.preferred_engines(request)[0].entry.engine
+    preferred = driver.controller.scheduler.preferred_engines(request)[0].entry.engine_id
     for engine in (1, 2, 3):
         driver.report_load(engine, cpu=0.85 if engine == preferred else 0.3)
-    assert driver.send_request(tables=2.0).engine != preferred
+    assert driver.send_request(tables=2.0).engine_id != preferred
 
 
 def test_table_loads_avoid_the_engines_of_their_readers_and_have_a_high_priority():
@@ -64,9 +64,9 @@
         classes = (replace(LOOKUP, yields=True), load)
         driver = PolicyDriver(engines=9, seed=seed, gateways=100, classes=classes)
         _, actions = driver.submit(0, tables=4.0, work=0.05)
-        engines_of_readers |= {send.engine for send in actions_of(api.Send, actions)}
+        engines_of_readers |= {send.engine_id for send in actions_of(api.Send, actions)}
         request_id, actions = driver.submit(1, tables=4.0, work=3.0)
-        engines_of_table_loads |= {send.engine for send in actions_of(api.Send, actions)}
+        engines_of_table_loads |= {send.engine_id for send in actions_of(api.Send, actions)}
         priorities |= {terms.priority for terms in driver.logged(api.Terms) if terms.request_id == request_id}
     assert len(engines_of_readers) == 3
     assert len(engines_of_table_loads) > 3
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -106,7 +106,7 @@
             self.checker.on_action(now, action)
             if isinstance(action, api.Probe) and self.random.random() < 0.9:  # some are never answered
                 delay = self.random.choice([0.005, 0.02, 0.25])
-                self.probes.append(ProbeInFlight(now + delay, action.engine))
+                self.probes.append(ProbeInFlight(now + delay, action.engine_id))
             if isinstance(action, api.Send):
                 self._begin_attempt(now, action)
             elif isinstance(action, api.Cancel):
@@ -141,7 +141,7 @@
             final = request_id in self.checker.ended_at or result is Result.OK
             self.checker.ended_at.pop(request_id, None)
             report = tuple(self.random.choice([0.5, -1.0, 1e9]) for _ in self.driver.settings.report_columns)
-            engine = item.send.engine
+            engine = item.send.engine_id
             self.handle(api.Outcome(request_id, item.attempt, engine, result, 0.2, final, 0.2, 60.0, report))
 
     def _draw_result(self, weight_of_ok):
@@ -193,7 +193,7 @@
         entry = self.random.choice(self.entries)
         state = self.random.choice([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE])
         started = self.driver.now - 0.5 * self.random.random()
-        changed = api.EngineEntry(entry.engine, entry.zone, entry.kind, entry.cell, 1.0, state, started)
+        changed = api.EngineEntry(entry.engine_id, entry.zone, entry.kind, entry.cell, 1.0, state, started)
         self.handle(api.EngineList((changed,)))
 
     def run_loaded_step(self, step):
@@ -226,7 +226,7 @@
             final = request_id in self.checker.ended_at
             self.checker.ended_at.pop(request_id, None)
             result = item.result or Result.TIMEOUT
-            self.handle(api.Outcome(request_id, item.attempt, item.send.engine, result, 0.2, final))
+            self.handle(api.Outcome(request_id, item.attempt, item.send.engine_id, result, 0.2, final))
 
 
 @pytest.mark.parametrize("seed", range(18))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -56,9 +56,9 @@
         if update.is_full:
             self.engines.clear()
         for endpoint in update.endpoints:
-            self.engines[endpoint.entry.engine] = endpoint.entry.state.value
+            self.engines[endpoint.entry.engine_id] = endpoint.entry.state.value
             if endpoint.entry.state.value == "gone":
-                del self.engines[endpoint.entry.engine]
+                del self.engines[endpoint.entry.engine_id]
         self.event.set()
 
     def on_freshness_change(self, is_fresh):
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -51,7 +51,7 @@
             if publish.is_snapshot:
                 self.engines.clear()
             for entry in publish.entries:
-                number, state = entry.endpoint.entry.engine, entry.endpoint.entry.state
+                number, state = entry.endpoint.entry.engine_id, entry.endpoint.entry.state
                 self.engines[number] = state.value
                 if state is api.State.GONE:
                     del self.engines[number]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -63,11 +63,11 @@
         "04 0000404052b81e3f0000a03fcdcccc3e"
     )
     assert event.result is api.Result.OK
-    assert event.final
-    assert event.engine == 0x03124A07
+    assert event.is_final
+    assert event.engine_id == 0x03124A07
     assert event.work == pytest.approx(0.017)
     assert event.memory_mb == 0x60 * 4
-    assert event.report == pytest.approx((3.0, 0.62, 1.25, 0.4))
+    assert event.load_report == pytest.approx((3.0, 0.62, 1.25, 0.4))
 
 
 def test_all_other_events_are_decoded():
@@ -83,13 +83,13 @@
     )
     engine_list, note, probe, timer, client_gone, peer_message, shutdown = events
     assert engine_list.whole
-    assert [entry.engine for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
+    assert [entry.engine_id for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
     assert engine_list.entries[1].size == 1.5
-    assert engine_list.entries[1].started == pytest.approx(6.1)
+    assert engine_list.entries[1].started_at == pytest.approx(6.1)
     assert note.kind is api.NoteKind.PROGRESS
     assert note.value == 0.5
-    assert probe.engine == 0x2C9011F2
-    assert len(probe.report) == 4
+    assert probe.engine_id == 0x2C9011F2
+    assert len(probe.load_report) == 4
     assert timer.token == 77
     assert client_gone.request_id == 0x030E310E6F2B19
     assert peer_message == api.PeerMessage(2, b"hi 7")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -162,7 +162,7 @@
 
     def zone(self, send):
         """Return the zone of the engine to which a request is sent."""
-        return next(entry.zone for entry in self.entries if entry.engine == send.engine)
+        return next(entry.zone for entry in self.entries if entry.engine_id == send.engine_id)
 
     def lose(self, zone):
         """Report so many failed attempts that the zone is lost."""
@@ -268,7 +268,7 @@
     assert driver.router.zones[0].recovery.phase is RecoveryPhase.LOST
     assert driver.zone(actions_of(api.Send, driver.submit()[1])[0]) == 1
     assert not actions_of(api.Fail, driver.finish(send))  # The attempt that was in flight there completes.
-    returned = tuple(replace(entry, started=driver.now) for entry in driver.entries if entry.zone == 0)
+    returned = tuple(replace(entry, started_at=driver.now) for entry in driver.entries if entry.zone == 0)
     driver.handle(api.EngineList(returned))
     assert driver.zone(actions_of(api.Send, driver.submit()[1])[0]) == 1
     driver.run(2.1)
