--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class SetResources:
     """Set the priority and the memory of the attempts of a request."""
 
     request_id: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Submit a `Timer` event with this token after a delay."""
+    """Submit a `TimerFired` event with this token after a delay."""
 
     after: float
     token: int
@@ -70,14 +70,14 @@
 
 
 @dataclass(frozen=True)
-class Subscribe:
+class SubscribeToEngineList:
     """Subscribe to the engine list, or end the subscription."""
 
     active: bool = True
 
 
 @dataclass(frozen=True)
-class FetchList:
+class FetchEngineList:
     """Fetch the engine list once."""
 
 
@@ -90,5 +90,15 @@
 
 
 Action = (
-    Send | Terms | Reject | Fail | Cancel | Probe | SetTimer | Log | Subscribe | FetchList | SendPeerMessage
+    Send
+    | SetResources
+    | Reject
+    | Fail
+    | Cancel
+    | Probe
+    | SetTimer
+    | Log
+    | SubscribeToEngineList
+    | FetchEngineList
+    | SendPeerMessage
 )
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class State(Enum):
+class EngineState(Enum):
     """The state of an engine in the engine list."""
 
     READY = "ready"
@@ -19,17 +19,17 @@
 
     OK = "ok"
     ERROR = "error"  # error reply of the engine, which may have executed the request
-    FULL = "full"  # rejected by an overloaded engine, without execution
+    REJECTED = "full"  # rejected by an overloaded engine, without execution
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"  # withdrawn or expired before its execution
+    WITHDRAWN = "moot"  # withdrawn or expired before its execution
 
 
 # Results of attempts that were certainly not executed, and of those that may be in execution still.
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
-MAY_RUN_ON = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})
+NEVER_EXECUTED = frozenset({Result.REJECTED, Result.CONNECT_FAILED, Result.WITHDRAWN})
+POSSIBLY_RUNNING = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     kind: int = 0
     cell: int = 0
     size: float = 1.0  # number of cores, if the settings state none for its kind
-    state: State = State.READY
+    state: EngineState = EngineState.READY
     started_at: float = 0.0  # Unix time of its last start; 0 means long ago
 
 
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerSent:
+class ResponseSent:
     """The final answer to a request with an order key has been sent, or its client is gone.
 
     It ends the wait of the next request of the key; see `Settings.order_gap`.
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class AttemptOutcome:
     """An attempt has ended."""
 
     request_id: int
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class Started:
+class StreamStarted:
     """An attempt streams rows to the client, so that no other attempt can answer the request."""
 
     request_id: int
@@ -106,23 +106,23 @@
     engine_id: int
 
 
-class NoteKind(Enum):
-    """The subject of a `Note`."""
+class AttemptUpdateKind(Enum):
+    """The subject of an `AttemptUpdate`."""
 
     PROGRESS = 1  # share of the work that is done
-    SPILLS = 2  # lack of memory, in MB, for which the attempt spills to disk
-    WAITS = 3  # cause of a wait: 1 for memory, 2 for a table load
+    SPILLING = 2  # lack of memory, in MB, for which the attempt spills to disk
+    WAITING = 3  # cause of a wait: 1 for memory, 2 for a table load
 
 
 @dataclass(frozen=True)
-class Note:
+class AttemptUpdate:
     """A status report on an attempt in flight."""
 
     request_id: int
     attempt: int
     engine_id: int
-    kind: NoteKind
-    value: float = 0.0  # as described at `NoteKind`
+    kind: AttemptUpdateKind
+    value: float = 0.0  # as described at `AttemptUpdateKind`
 
 
 @dataclass(frozen=True)
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True)
-class Timer:
+class TimerFired:
     """A timer that was set has fired."""
 
     token: int
@@ -176,14 +176,14 @@
 Event = (
     EngineList
     | Request
-    | Outcome
-    | Started
-    | Note
+    | AttemptOutcome
+    | StreamStarted
+    | AttemptUpdate
     | ProbeResult
-    | Timer
+    | TimerFired
     | ClientGone
     | PeerMessage
-    | AnswerSent
+    | ResponseSent
     | PeerLoadReport
     | FleetSize
 )
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -16,7 +16,7 @@
     """A setting is missing or invalid; the text names its key."""
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """Whether a request of a class may be executed more than once."""
 
     SAFE = "safe"  # yes: a repetition is harmless
@@ -34,7 +34,7 @@
     deadline: float = 4.0  # timeout of requests that state none
     worth: float = 1.0  # value of an answer in time
     late_share: float = 0.0  # share of the value that an answer after the target latency earns
-    repeat: Repeat = Repeat.SAFE
+    repeat: RepeatPolicy = RepeatPolicy.SAFE
     group: str = "all"  # engines that recognize a repetition (KEYED only), one of REPEAT_GROUPS
     repeat_window: float = 0.0  # time for which engines recognize a repetition (KEYED only)
     ordered: bool = False  # whether requests of one order key are executed in the order of arrival
@@ -87,7 +87,7 @@
     fall: float = 1.5  # window in which the work for a cold engine is limited
     fall_multiple: float = 2.0  # limit of that work, as a multiple of the engine's present capacity
     order_pause: float = 0.0  # pause of an order key after an attempt that may still be in execution
-    order_gap: float = 0.0  # pause of an order key after a request, which also lasts until its `AnswerSent`
+    order_gap: float = 0.0  # pause of an order key after a request, which also lasts until its `ResponseSent`
     budget_share: float | None = None  # share of requests with a further attempt; None means no limit
     budget_free: float = 0.0  # further attempts that are allowed in addition to that share
     budget_span: float = 5.0  # window of both limits
@@ -104,8 +104,8 @@
     over_share_worth: float = 1.0  # factor to the value of requests beyond their tenant's quota
     report_columns: tuple[str, ...] = ()  # columns: active, waiting, cpu, memory_used, disk_busy, ...
     report_how: str = "none"  # what carries load reports: "answers", "probe", or "none"
-    memory_heeded: bool = False  # whether engines honor the memory in `Terms`
-    ranks_heeded: bool = False  # whether engines honor the priority in `Terms`
+    memory_heeded: bool = False  # whether engines honor the memory in `SetResources`
+    ranks_heeded: bool = False  # whether engines honor the priority in `SetResources`
     tells_cost: bool = False  # whether answers state the work and the memory that were used
     progress: float = 0.0  # time between progress reports of an attempt; 0 means that there are none
     largest_share: float = 1.0  # largest share of an engine's memory that one request can get
--- a/applevale/discovery/feed_codec.py
+++ b/applevale/discovery/feed_codec.py
@@ -18,11 +18,11 @@
 ENGINE_RECORD = struct.Struct(">IIHBBBHIQ")  # The fields of `EngineRecord`.
 MAX_FRAME_BYTES = 1 << 20  # Enough for 38,000 engines.
 
-_STATE_BY_CODE = {0: api.State.READY, 1: api.State.DRAINING, 2: api.State.GONE}
+_STATE_BY_CODE = {0: api.EngineState.READY, 1: api.EngineState.DRAINING, 2: api.EngineState.GONE}
 _STATE_BY_LIFECYCLE = {
-    "in_service": api.State.READY,
-    "terminating": api.State.DRAINING,
-    "terminated": api.State.GONE,
+    "in_service": api.EngineState.READY,
+    "terminating": api.EngineState.DRAINING,
+    "terminated": api.EngineState.GONE,
 }
 
 
--- a/applevale/discovery/gated_endpoints.py
+++ b/applevale/discovery/gated_endpoints.py
@@ -43,7 +43,7 @@
         listed = [endpoint.entry for endpoint in update.endpoints]
         for entry in listed:
             self.entries[entry.engine_id] = entry
-            if entry.state is api.State.GONE:
+            if entry.state is api.EngineState.GONE:
                 del self.entries[entry.engine_id]
         return api.EngineList(tuple(map(self._presented, listed)), update.is_full)
 
@@ -62,15 +62,15 @@
     def has_usable_engine(self) -> bool:
         """Return whether any engine could get new requests if the list were confirmed."""
         return any(
-            entry.state is api.State.READY and not self._is_excluded(entry.engine_id)
+            entry.state is api.EngineState.READY and not self._is_excluded(entry.engine_id)
             for entry in self.entries.values()
         )
 
     def _presented(self, entry: api.EngineEntry) -> api.EngineEntry:
         """Return an engine as the decision module sees it."""
-        is_ready = entry.state is api.State.READY
+        is_ready = entry.state is api.EngineState.READY
         if is_ready and (self.is_stale or self._is_excluded(entry.engine_id)):
-            return replace(entry, state=api.State.DRAINING)
+            return replace(entry, state=api.EngineState.DRAINING)
         return entry
 
     def _is_excluded(self, engine: int) -> bool:
--- a/applevale/discovery/registry/endpoint_table.py
+++ b/applevale/discovery/registry/endpoint_table.py
@@ -159,7 +159,7 @@
             self._listed_key[engine] = successor.key
             return [successor]
         del self._record_keys[engine]
-        removed_engine = replace(entry.endpoint.entry, state=api.State.GONE)
+        removed_engine = replace(entry.endpoint.entry, state=api.EngineState.GONE)
         return [TableEntry(key, revision, replace(entry.endpoint, entry=removed_engine), entry.value)]
 
 
--- a/applevale/discovery/registry/records.py
+++ b/applevale/discovery/registry/records.py
@@ -16,7 +16,11 @@
 MAX_QUOTED_NAME_LENGTH = 40
 MAX_DECODER_REASON_LENGTH = 120
 MAX_PARSER_REASON_LENGTH = 80
-_STATE_BY_NAME = {"ready": api.State.READY, "draining": api.State.DRAINING, "gone": api.State.GONE}
+_STATE_BY_NAME = {
+    "ready": api.EngineState.READY,
+    "draining": api.EngineState.DRAINING,
+    "gone": api.EngineState.GONE,
+}
 
 
 class EngineRecord(msgspec.Struct, forbid_unknown_fields=False):
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -40,7 +40,7 @@
 MAX_DELIVERY_TIME_SECONDS = 1.0
 DELIVERY_LATENESS_FACTOR = 2.0  # multiple of the current lateness that is added to the minimum
 
-RequestAction = api.Send | api.Terms | api.Reject | api.Fail | api.Cancel
+RequestAction = api.Send | api.SetResources | api.Reject | api.Fail | api.Cancel
 ActionHandler = Callable[[RequestAction], None]
 
 
@@ -184,13 +184,13 @@
 
     def _execute(self, action: api.Action) -> None:
         match action:
-            case api.Send() | api.Terms() | api.Reject() | api.Fail() | api.Cancel():
+            case api.Send() | api.SetResources() | api.Reject() | api.Fail() | api.Cancel():
                 handler = self.action_handlers.get(action.request_id)
                 if handler is not None:  # else the client has gone, and its attempt was cancelled
                     handler(action)
             case api.SetTimer():
                 loop = asyncio.get_running_loop()
-                loop.call_later(action.after, self.submit, api.Timer(action.token))
+                loop.call_later(action.after, self.submit, api.TimerFired(action.token))
             case api.Probe():
                 self.prober.probe(action.engine_id)
             case api.Log():
--- a/applevale/engines/attempt.py
+++ b/applevale/engines/attempt.py
@@ -142,7 +142,7 @@
         if self.message is not None and self.message.write_started:
             return AttemptFailed(Progress.POSSIBLY_EXECUTED, Result.RESET)
         # A reset before the command was written does not mean that the engine cannot be reached.
-        result = Result.MOOT if self.connection.was_reached else Result.CONNECT_FAILED
+        result = Result.WITHDRAWN if self.connection.was_reached else Result.CONNECT_FAILED
         return AttemptFailed(Progress.NOT_SENT, result)
 
     def set_priority(self, priority: int) -> None:
@@ -161,7 +161,7 @@
             return
         self.is_cancelled = True
         if self.message is None or self.connection.write_queue.withdraw(self.message):
-            self.finish(AttemptFailed(Progress.NOT_SENT, Result.MOOT))
+            self.finish(AttemptFailed(Progress.NOT_SENT, Result.WITHDRAWN))
             return
         progress = Progress.EXECUTED if self.page_count else Progress.POSSIBLY_EXECUTED
         failed = AttemptFailed(progress, result)
@@ -184,9 +184,9 @@
         elif status == resp.REPLY_PAGE and self.page_count:
             self._add_page(reply.page_number(self.page_count - 1), reply.body)
         elif status == resp.REPLY_REJECTED and not self.page_count:
-            self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.FULL, report))
+            self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.REJECTED, report))
         elif status == resp.REPLY_EXPIRED and not self.page_count:
-            self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.MOOT, report))
+            self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.WITHDRAWN, report))
         elif status == resp.REPLY_ERROR:  # in execution, or in fetching a page
             progress = Progress.EXECUTED if self.page_count else Progress.POSSIBLY_EXECUTED
             self.finish(AttemptFailed(progress, Result.ERROR, report))
--- a/applevale/engines/connection.py
+++ b/applevale/engines/connection.py
@@ -24,7 +24,7 @@
 IDLE_TIMEOUT_FRACTION = 0.8
 
 REPLY_COUNTERS = {status: f"engine_{status.decode()}" for status in resp.REPLY_STATUSES}
-PROBE_RESULTS = {resp.REPLY_PONG: Result.OK, resp.REPLY_REJECTED: Result.FULL}
+PROBE_RESULTS = {resp.REPLY_PONG: Result.OK, resp.REPLY_REJECTED: Result.REJECTED}
 
 
 class EngineConnection:
@@ -170,7 +170,7 @@
     def _send_execute(self, attempt: Attempt) -> None:
         spec = attempt.spec
         if not self.pool.may_send(spec, self.engine):  # checked again after the wait for the connection
-            attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.MOOT))
+            attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.WITHDRAWN))
             return
         remaining = spec.deadline - asyncio.get_running_loop().time()
         fields = resp.encode_execute_fields(spec.class_name, remaining, spec.priority, spec.idempotency_key)
--- a/applevale/engines/engine.py
+++ b/applevale/engines/engine.py
@@ -5,7 +5,7 @@
 from collections.abc import Set
 from typing import TYPE_CHECKING
 
-from ..api import State
+from ..api import EngineState
 from ..discovery.endpoints import Endpoint
 from .connection import EngineConnection
 
@@ -38,17 +38,17 @@
         """Apply a new entry of the list for this engine."""
         entry = endpoint.entry
         is_replaced = (entry.started_at, endpoint.address) != (self.started_at, self.address)
-        if is_replaced or entry.state is State.GONE:
+        if is_replaced or entry.state is EngineState.GONE:
             self._drain_connections()  # they belong to an earlier process of the engine
         self.state = entry.state
         self.started_at = entry.started_at
         self.address = endpoint.address
-        if self.state is not State.READY:
+        if self.state is not EngineState.READY:
             self.withdraw_unsent()
 
     def mark_gone(self) -> None:
         """Treat the engine as gone, whatever its state in the list."""
-        self.state = State.GONE
+        self.state = EngineState.GONE
         self.withdraw_unsent()
         self._drain_connections()
 
--- a/applevale/engines/pool.py
+++ b/applevale/engines/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Iterable, Set
 
-from ..api import Result, State
+from ..api import EngineState, Result
 from ..discovery.endpoints import Endpoint, EndpointUpdate
 from ..observability.counters import Counters
 from .attempt import Attempt, AttemptFailed, AttemptResult, AttemptSpec, Progress
@@ -150,7 +150,7 @@
 
     def _update_unlisted(self, engine: Engine) -> None:
         self.unlisted.discard(engine.engine_id)
-        if engine.state is not State.GONE:
+        if engine.state is not EngineState.GONE:
             return
         if engine.connections:
             self.unlisted.add(engine.engine_id)
@@ -171,7 +171,7 @@
         if spec.is_client_gone():
             self.counters["gone_unread"] += 1
             return False
-        is_ready = engine is not None and engine.state is State.READY and self._is_list_confirmed()
+        is_ready = engine is not None and engine.state is EngineState.READY and self._is_list_confirmed()
         return is_ready and asyncio.get_running_loop().time() < spec.start_before
 
     def start_attempt(
@@ -193,12 +193,12 @@
         attempt = Attempt(spec, on_result)
         engine = self.engines.get(engine_id)
         if not self.may_send(spec, engine):
-            attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.MOOT))
+            attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.WITHDRAWN))
             return attempt
         connection = engine.pick_connection(spec.request_id, excluded, spec.exclusive)
         if connection is None:
             # A denial by the connect policy does not count against the engine; the limit on connections does.
-            result = Result.CONNECT_FAILED if self.connect_policy.may_connect(engine_id) else Result.MOOT
+            result = Result.CONNECT_FAILED if self.connect_policy.may_connect(engine_id) else Result.WITHDRAWN
             attempt.finish(AttemptFailed(Progress.NOT_SENT, result))
         else:
             connection.send_attempt(attempt)
--- a/applevale/engines/streams.py
+++ b/applevale/engines/streams.py
@@ -62,7 +62,7 @@
             if attempt.is_cancelled:
                 continue
             if attempt.message is None or write_queue.withdraw(attempt.message):
-                attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.MOOT))
+                attempt.finish(AttemptFailed(Progress.NOT_SENT, Result.WITHDRAWN))
 
     def finish_all(self, probe_result: Result) -> None:
         """Finish all streams after the end of the connection, the probes with `probe_result`."""
--- a/applevale/harness/fleet_engines.py
+++ b/applevale/harness/fleet_engines.py
@@ -9,7 +9,7 @@
 from random import Random
 from zlib import crc32
 
-from ..api import State
+from ..api import EngineState
 from ..discovery.endpoints import format_instance_id
 from ..fakes.cold_engine import ColdEngine
 from ..net.addresses import Address, format_address
@@ -49,7 +49,7 @@
         self.random = random
         self.fakes: list[ColdEngine] = []
         self.addresses: list[Address] = []
-        self.states: dict[int, State] = {}
+        self.states: dict[int, EngineState] = {}
 
     async def start(self, expose: Expose) -> None:
         """Start all engines and list them as ready.
@@ -65,23 +65,23 @@
         for number in range(self.plan.engines):
             if number < self.plan.cold:
                 self.fakes[number].started_at = time.monotonic()
-            await self.set_state(number, State.READY)
+            await self.set_state(number, EngineState.READY)
 
     async def stop(self) -> None:
         """Stop all engines."""
         for engine in self.fakes:
             await engine.stop()
 
-    async def set_state(self, number: int, state: State) -> None:
+    async def set_state(self, number: int, state: EngineState) -> None:
         """Write one engine into the registry; the state `GONE` deletes it."""
         key = f"{ENGINE_KEY_PREFIX}{number}"
         self.states[number] = state
-        if state is State.GONE:
+        if state is EngineState.GONE:
             await self.registry.order("delete", key=key)
             return
         await self.registry.order("put", key=key, value=json.dumps(self._record(number, state)))
 
-    def _record(self, number: int, state: State) -> dict:
+    def _record(self, number: int, state: EngineState) -> dict:
         started = 0.0
         if number < self.plan.cold:
             started = time.time() - (time.monotonic() - self.fakes[number].started_at)
@@ -103,10 +103,10 @@
         for _ in range(count):
             busiest = self._busiest()
             for number in busiest:
-                await self.set_state(number, State.DRAINING)
+                await self.set_state(number, EngineState.DRAINING)
             await asyncio.sleep(DRAIN_SECONDS)
             for number in busiest:
-                await self.set_state(number, State.READY)
+                await self.set_state(number, EngineState.READY)
             await asyncio.sleep(PAUSE_AFTER_DRAIN_SECONDS)
 
     def _busiest(self) -> list[int]:
@@ -125,6 +125,6 @@
         lines = sorted(
             f"{number + 1:08x} {state.value} {self.addresses[number]}"
             for number, state in self.states.items()
-            if state is not State.GONE
+            if state is not EngineState.GONE
         )
         return crc32("\n".join(lines).encode())
--- a/applevale/harness/registry/engine_list.py
+++ b/applevale/harness/registry/engine_list.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from ...api import State
+from ...api import EngineState
 from ...discovery.endpoints import AttributeNames, format_instance_id
 from ...discovery.registry.records import read_record
 from ...fakes.engine import FakeEngine
@@ -41,7 +41,7 @@
         """List an engine as ready under the id of that number."""
         self.number = number
         self.engine = engine
-        self.state = State.READY
+        self.state = EngineState.READY
 
     @property
     def key(self) -> bytes:
@@ -97,10 +97,10 @@
         for listed in self.listed:
             self._store.put(listed.key, listed.record())
 
-    def set_state(self, listed: ListedEngine, state: State) -> None:
+    def set_state(self, listed: ListedEngine, state: EngineState) -> None:
         """Write a new state of an id; the state `GONE` deletes its record."""
         listed.state = state
-        if state is State.GONE:
+        if state is EngineState.GONE:
             self._store.delete(listed.key)
         else:
             self._store.put(listed.key, listed.record())
@@ -108,9 +108,9 @@
     def change_one(self) -> None:
         """Drain, delete or bring back an id that is drawn; some engines stay ready all the time."""
         listed = self._random.choice(self.listed)
-        ready_count = sum(other.state is State.READY for other in self.listed)
+        ready_count = sum(other.state is EngineState.READY for other in self.listed)
         draw = self._random.random()
-        if listed.state is not State.READY:
+        if listed.state is not EngineState.READY:
             self._bring_back(listed, draw)
         elif ready_count > MIN_READY_COUNT:
             self._take_out(listed, draw)
@@ -120,9 +120,9 @@
 
     def _take_out(self, listed: ListedEngine, draw: float) -> None:
         if draw >= DRAIN_SHARE:
-            self.set_state(listed, State.GONE)
+            self.set_state(listed, EngineState.GONE)
             return
-        self.set_state(listed, State.DRAINING)
+        self.set_state(listed, EngineState.DRAINING)
         if draw < DELETION_AFTER_DRAIN_SHARE:
             self._delayed_calls.schedule(DELETION_AFTER_DRAIN_SECONDS, self._store.delete, listed.key)
 
@@ -131,7 +131,7 @@
             former = listed.engine
             listed.engine = self.spare.pop(0)
             self.spare.append(former)
-        self.set_state(listed, State.READY)
+        self.set_state(listed, EngineState.READY)
 
     def write_burst(self) -> None:
         """Write many records of draining engines that do not exist, at once."""
@@ -139,7 +139,7 @@
             fields = {
                 "id": format_instance_id(number),
                 "address": format_address(UNUSED_ADDRESS),
-                "state": State.DRAINING.value,
+                "state": EngineState.DRAINING.value,
             }
             self._store.put(_key(number), json.dumps(fields).encode())
 
@@ -150,12 +150,12 @@
         for listed in self.listed:
             version = self._store.current.get(listed.key)
             if version is None:
-                listed.state = State.GONE
+                listed.state = EngineState.GONE
                 continue
             endpoint = read_record(version.value, ATTRIBUTE_NAMES)
             listed.state = endpoint.entry.state
             listed.engine = engines[endpoint.address]
             self.spare.remove(listed.engine)
         for listed in self.listed:
-            if listed.state is State.GONE:
+            if listed.state is EngineState.GONE:
                 listed.engine = self.spare.pop(0)
--- a/applevale/harness/registry/evaluation.py
+++ b/applevale/harness/registry/evaluation.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Iterator, Sequence
 
-from ...api import State
+from ...api import EngineState
 from ...checkers.coldstart import REQUEST_RULES
 from ...checkers.drains import MAX_DRAIN_LAG_SECONDS, Drain, ListingChange, find_drains
 from ...checkers.history import quantile
@@ -59,7 +59,7 @@
     if commit.version.value is None:
         return None
     endpoint = read_record(commit.version.value, ATTRIBUTE_NAMES)
-    return format_address(endpoint.address) if endpoint.entry.state is State.READY else None
+    return format_address(endpoint.address) if endpoint.entry.state is EngineState.READY else None
 
 
 def print_explanation(environment: ScenarioEnvironment) -> None:
--- a/applevale/harness/scenarios/registry_plays.py
+++ b/applevale/harness/scenarios/registry_plays.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from ...api import State
+from ...api import EngineState
 from ...checkers.coldstart import SESSIONS_AFTER_BREAK_SECONDS
 from ..fleet import Fleet
 from .steps import (
@@ -95,7 +95,7 @@
     await fleet.registry.order("keep")
     kept = dict(fleet.engines.states)
     await fleet.engines.drain(1)
-    await fleet.engines.set_state(0, State.GONE)
+    await fleet.engines.set_state(0, EngineState.GONE)
     await observe_rest(fleet)
     fleet.mark("break")
     await fleet.registry.order("restore")
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -58,9 +58,9 @@
         """Return whether the rules that depend on the engine allow an attempt there."""
         spec = pending.spec
         entry = engine.entry
-        if entry.state is not api.State.READY or not pending.allows(entry):
+        if entry.state is not api.EngineState.READY or not pending.allows(entry):
             return False
-        has_repeat_group = spec.repeat is api.Repeat.KEYED and spec.group != "all"
+        has_repeat_group = spec.repeat is api.RepeatPolicy.KEYED and spec.group != "all"
         first = pending.first_executed() if has_repeat_group else None
         if first is not None and getattr(first.entry, spec.group) != getattr(entry, spec.group):
             return False
@@ -78,7 +78,7 @@
         """Send an attempt of a request to an engine that `can_run_on` allows."""
         context = self._context
         spec = pending.spec
-        self._set_terms(pending)
+        self._set_resources(pending)
         if pending.attempts:
             self._retry_budget.record_extra(context.now)
         attempt = Attempt(pending, engine)
@@ -99,20 +99,20 @@
             api.Send(pending.request.request_id, engine.entry.engine_id, timeout, announce)
         )
 
-    def _set_terms(self, pending: PendingRequest) -> None:
+    def _set_resources(self, pending: PendingRequest) -> None:
         settings = self._context.settings
         if settings.ranks_heeded or settings.memory_heeded:
             min_priority = config.MIN_TABLE_LOAD_PRIORITY if pending.spec.load else 0
             priority = max(pending.priority, min_priority)
             memory_mb = pending.grant_mb if settings.memory_heeded else 0.0
-            self._context.actions.append(api.Terms(pending.request.request_id, priority, memory_mb))
+            self._context.actions.append(api.SetResources(pending.request.request_id, priority, memory_mb))
 
-    def _attempt_in_flight(self, event: api.Outcome | api.Note) -> Attempt | None:
+    def _attempt_in_flight(self, event: api.AttemptOutcome | api.AttemptUpdate) -> Attempt | None:
         attempts = self.pending[event.request_id].attempts if event.request_id in self.pending else ()
         in_flight = (attempt for attempt in attempts if not attempt.result)
         return next((attempt for attempt in in_flight if attempt.index == event.attempt), None)
 
-    def on_outcome(self, event: api.Outcome) -> PendingRequest | None:
+    def on_outcome(self, event: api.AttemptOutcome) -> PendingRequest | None:
         """Handle the end of an attempt; return its request if it needs another attempt."""
         attempt = self._attempt_in_flight(event)
         if attempt is None:
@@ -132,7 +132,7 @@
             self.reject_or_fail(pending)
         return None
 
-    def _end_attempt(self, attempt: Attempt, event: api.Outcome) -> None:
+    def _end_attempt(self, attempt: Attempt, event: api.AttemptOutcome) -> None:
         context = self._context
         pending = attempt.pending
         attempt.result = event.result
@@ -142,10 +142,10 @@
         engine = context.engines.get(attempt.entry.engine_id)
         if engine and engine.attempts.remove(attempt, pending.spec.threads, attempt.granted_mb):
             self._learn(engine, attempt, event)
-        if pending.spec.ordered and event.result in api.MAY_RUN_ON:
+        if pending.spec.ordered and event.result in api.POSSIBLY_RUNNING:
             self.key_queues.pause(pending.request.order_key, context.now + context.settings.order_pause)
 
-    def _learn(self, engine: Engine, attempt: Attempt, event: api.Outcome) -> None:
+    def _learn(self, engine: Engine, attempt: Attempt, event: api.AttemptOutcome) -> None:
         pending = attempt.pending
         now = self._context.now
         if event.load_report:
@@ -156,25 +156,25 @@
             met_pressure = pending.stats.learn(attempt, event, run_time)
             self._load.threads_per_query.add(now, pending.spec.threads, run_time)
             self._admission.learn(pending, engine, met_pressure)
-        if engine.entry.state is api.State.GONE and not engine.attempts.items:
+        if engine.entry.state is api.EngineState.GONE and not engine.attempts.items:
             del self._context.engines[engine.entry.engine_id]
 
-    def on_note(self, event: api.Note) -> None:
+    def on_attempt_update(self, event: api.AttemptUpdate) -> None:
         """Handle a status report on an attempt: record memory pressure, cancel a slow attempt."""
         attempt = self._attempt_in_flight(event)
         if attempt is None:
             return
-        waits_for_memory = event.kind is api.NoteKind.WAITS and event.value == 1
-        if event.kind is api.NoteKind.SPILLS or waits_for_memory:
+        waits_for_memory = event.kind is api.AttemptUpdateKind.WAITING and event.value == 1
+        if event.kind is api.AttemptUpdateKind.SPILLING or waits_for_memory:
             attempt.met_memory_pressure = True
             self._context.memory_pressure_at = self._context.now
-        elif event.kind is api.NoteKind.PROGRESS and event.value > config.MIN_PROGRESS:
+        elif event.kind is api.AttemptUpdateKind.PROGRESS and event.value > config.MIN_PROGRESS:
             overdue_time = config.OVERDUE_FACTOR * attempt.pending.expected_run_time()
             extrapolated_run_time = (self._context.now - attempt.running_since) / event.value
             if extrapolated_run_time > max(self._min_overdue_time, overdue_time):
                 self._cancel_to_retry(attempt)
 
-    def on_answer_sent(self, event: api.AnswerSent) -> None:
+    def on_response_sent(self, event: api.ResponseSent) -> None:
         """Let the next request of an order key start once this answer is delivered."""
         self.key_queues.pause(event.order_key, self._context.now + event.delivery_time)
         self._delivery_time = event.delivery_time
@@ -243,8 +243,8 @@
         random = self._context.random
         spec = pending.spec
         action: api.Action = api.Fail(pending.request.request_id)
-        drops_repeats = spec.repeat is api.Repeat.KEYED and spec.group == "all"
-        if drops_repeats or spec.repeat is api.Repeat.SAFE or not pending.first_executed():
+        drops_repeats = spec.repeat is api.RepeatPolicy.KEYED and spec.group == "all"
+        if drops_repeats or spec.repeat is api.RepeatPolicy.SAFE or not pending.first_executed():
             # A random delay spreads the retries of clients that are rejected together.
             delay = random.uniform(config.MIN_RETRY_AFTER_SECONDS, config.MAX_RETRY_AFTER_SECONDS)
             retry_after = min(delay, settings.max_retry_after) if settings.retry_after else 0.0
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -32,14 +32,14 @@
             api.FleetSize: self._on_fleet_size,
             api.EngineList: self._on_engine_list,
             api.PeerLoadReport: self.load.on_peer_report,
-            api.Outcome: self._on_outcome,
+            api.AttemptOutcome: self._on_outcome,
             api.ProbeResult: self._on_probe_result,
-            api.Started: self._on_started,
-            api.Note: self.attempts.on_note,
+            api.StreamStarted: self._on_stream_started,
+            api.AttemptUpdate: self.attempts.on_attempt_update,
             api.Request: self._on_request,
             api.ClientGone: self._on_client_gone,
-            api.AnswerSent: self.attempts.on_answer_sent,
-            api.Timer: self._on_timer,
+            api.ResponseSent: self.attempts.on_response_sent,
+            api.TimerFired: self._on_timer,
         }
 
     def ejected_engines(self, now: float) -> set[int]:
@@ -72,9 +72,9 @@
 
     def _subscribe(self) -> None:
         self._is_subscribed = True
-        self.context.actions.append(api.Subscribe())
+        self.context.actions.append(api.SubscribeToEngineList())
 
-    def _on_timer(self, event: api.Timer) -> None:
+    def _on_timer(self, event: api.TimerFired) -> None:
         if event.token == config.SUBSCRIBE_TIMER_TOKEN:
             self._subscribe()
         else:
@@ -95,7 +95,7 @@
         entries = {entry.engine_id: entry for entry in event.entries}
         if event.whole:
             missing = [engine.entry for engine_id, engine in self.engines.items() if engine_id not in entries]
-            entries |= {entry.engine_id: replace(entry, state=api.State.GONE) for entry in missing}
+            entries |= {entry.engine_id: replace(entry, state=api.EngineState.GONE) for entry in missing}
         for entry in entries.values():
             # The instances see a new engine together: their budgets for it begin with different debts.
             initial_debt = context.random.random() * context.value_density.mean_cost.value
@@ -107,7 +107,7 @@
 
     def _apply_entry(self, entry: api.EngineEntry, initial_debt: float) -> None:
         engine = self.engines.get(entry.engine_id)
-        if entry.state is api.State.GONE and not (engine and engine.attempts.items):
+        if entry.state is api.EngineState.GONE and not (engine and engine.attempts.items):
             self.engines.pop(entry.engine_id, None)
         elif engine is None:
             self.engines[entry.engine_id] = Engine(entry, self.context, initial_debt)
@@ -129,7 +129,7 @@
         self.admission.assess_memory_risk(pending, self.scheduler.preferred_engines(pending))
         self.scheduler.enqueue(pending)
 
-    def _on_outcome(self, event: api.Outcome) -> None:
+    def _on_outcome(self, event: api.AttemptOutcome) -> None:
         if pending := self.attempts.on_outcome(event):
             self.scheduler.enqueue(pending)
 
@@ -139,12 +139,12 @@
             return
         engine.probed_at = inf
         self.context.zone_router.on_result(self.context.now, engine.entry, event.result)
-        if event.result in (api.Result.OK, api.Result.FULL):  # full: too many probes, not a failure
+        if event.result in (api.Result.OK, api.Result.REJECTED):  # rejected: too many probes, not a failure
             self.load.apply_report(engine, event.load_report)
         elif self.outliers.record_failure(engine, event.result):
             self.outliers.eject(engine, f"probe: {event.result.value}")
 
-    def _on_started(self, event: api.Started) -> None:
+    def _on_stream_started(self, event: api.StreamStarted) -> None:
         if pending := self.attempts.pending.get(event.request_id):
             pending.is_streaming = True
 
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -69,16 +69,16 @@
 
     def is_safely_repeatable(self) -> bool:
         """Return whether another execution is harmless and can still answer it."""
-        return self.spec.repeat is api.Repeat.SAFE and not self.is_streaming and not self.is_finished
+        return self.spec.repeat is api.RepeatPolicy.SAFE and not self.is_streaming and not self.is_finished
 
     def first_executed(self) -> Attempt | None:
         """Return the first attempt that may have been executed."""
-        return next((attempt for attempt in self.attempts if attempt.result not in api.NEVER_RAN), None)
+        return next((attempt for attempt in self.attempts if attempt.result not in api.NEVER_EXECUTED), None)
 
     def is_repeat_forbidden(self, now: float) -> bool:
         """Return whether it may have been executed, and engines would not recognize a repetition."""
-        first = None if self.spec.repeat is api.Repeat.SAFE else self.first_executed()
-        window = self.spec.repeat_window if self.spec.repeat is api.Repeat.KEYED else -inf
+        first = None if self.spec.repeat is api.RepeatPolicy.SAFE else self.first_executed()
+        window = self.spec.repeat_window if self.spec.repeat is api.RepeatPolicy.KEYED else -inf
         return first is not None and now >= first.sent_at + window
 
     def final_answer_at(self, stall: float) -> float:
@@ -104,7 +104,7 @@
             config.SLOWDOWN_PRIOR, config.SCATTER_PRIOR, config.MAX_RATIO, config.MAX_EXPECTED_SLOWDOWN
         )
 
-    def learn(self, attempt: Attempt, event: api.Outcome, run_time: float) -> bool:
+    def learn(self, attempt: Attempt, event: api.AttemptOutcome, run_time: float) -> bool:
         """Learn from a completed attempt; return whether it met memory pressure."""
         pending = attempt.pending
         usual_slowdown = self.run_time.slowdown.value
@@ -156,7 +156,7 @@
 
     def is_available(self) -> bool:
         """Return whether it may get an attempt; on probation it gets one at a time."""
-        is_ready = self.entry.state is api.State.READY and self.health.open_until <= self.context.now
+        is_ready = self.entry.state is api.EngineState.READY and self.health.open_until <= self.context.now
         return is_ready and not (self.health.on_probation and self.attempts.items)
 
     def capacity_share(self, now: float) -> float:
@@ -200,4 +200,4 @@
 
     def ready_engines(self) -> list[Engine]:
         """Return the engines that are listed as ready, including ejected ones."""
-        return [engine for engine in self.engines.values() if engine.entry.state is api.State.READY]
+        return [engine for engine in self.engines.values() if engine.entry.state is api.EngineState.READY]
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -48,7 +48,7 @@
         if result is api.Result.OK:
             engine.succeeded_at = now
             engine.health.record_success()
-        elif result is api.Result.FULL:  # caused by all instances together: not a failure of the engine
+        elif result is api.Result.REJECTED:  # caused by all instances together: not a failure of the engine
             engine.reported_at = now
             engine.peer_load.add(now, config.OVERFULL_LOAD)
         elif result is api.Result.CONNECT_FAILED:
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -151,7 +151,7 @@
     def _handle_event(self, event: InboxEvent) -> Response | None:
         """Handle an event from the inbox; return the response if the event decides it."""
         match event:
-            case api.Terms(priority=priority):
+            case api.SetResources(priority=priority):
                 self._set_priority(priority)
             case api.Send():
                 self._send_attempt(event)
@@ -212,7 +212,7 @@
         Engines recognize a repeated request of a keyed class only within `repeat_window` of its first
         possible execution.
         """
-        if self._spec.repeat is not api.Repeat.KEYED:
+        if self._spec.repeat is not api.RepeatPolicy.KEYED:
             return timeout
         return min(timeout, self._possibly_executed_at + self._spec.repeat_window - now)
 
@@ -226,7 +226,7 @@
             deadline=now + timeout,
             start_before=now + start_window,
             priority=self._priority,
-            exclusive=self._spec.repeat is api.Repeat.UNSAFE,
+            exclusive=self._spec.repeat is api.RepeatPolicy.UNSAFE,
             is_client_gone=request.is_client_gone,
             idempotency_key=request.idempotency_key,
         )
@@ -239,9 +239,9 @@
         succeeded = isinstance(result, AttemptSucceeded)
         if succeeded:
             self._rows = result.rows
-        if result.result not in api.NEVER_RAN:
+        if result.result not in api.NEVER_EXECUTED:
             self._possibly_executed_at = min(self._possibly_executed_at, record.sent_at)
-        outcome = api.Outcome(
+        outcome = api.AttemptOutcome(
             self.number,
             record.index,
             record.engine,
@@ -265,7 +265,7 @@
             # Ends at once as not executed if nothing of the attempt was written.
             self.in_flight.cancel(api.Result.CANCELLED)
         possibly_executed = self._possibly_executed_at < inf or self.in_flight is not None
-        if possibly_executed and self._spec.repeat is not api.Repeat.SAFE:
+        if possibly_executed and self._spec.repeat is not api.RepeatPolicy.SAFE:
             return self._completed_or(Failed())
         return self._completed_or(self._environment.reject())
 
@@ -278,7 +278,9 @@
             event = self.inbox.get_nowait()
             if isinstance(event, api.Send):
                 # The admission controller counts the attempt as in flight until it gets an outcome.
-                outcome = api.Outcome(self.number, self.attempt_count, event.engine_id, api.Result.MOOT)
+                outcome = api.AttemptOutcome(
+                    self.number, self.attempt_count, event.engine_id, api.Result.WITHDRAWN
+                )
                 self._driver.submit(outcome)
                 self.attempt_count += 1
         if self.in_flight is not None:
--- a/applevale/requests/handler.py
+++ b/applevale/requests/handler.py
@@ -103,7 +103,7 @@
         """
         number = self._undelivered.pop(request, None)
         if number is not None:
-            self._driver.submit(api.AnswerSent(number, request.order_key, self._driver.delivery_seconds()))
+            self._driver.submit(api.ResponseSent(number, request.order_key, self._driver.delivery_seconds()))
 
     def set_shutdown_deadline(self, deadline: float) -> None:
         """Set the time, by the driver's clock, at which the process stops; it limits all timeouts."""
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -173,7 +173,7 @@
         kind=kind,
         cell=cell,
         size=_non_negative(size),
-        state=STATES.get(state, api.State.DRAINING),
+        state=STATES.get(state, api.EngineState.DRAINING),
         started_at=started_ns / NANOSECONDS_PER_SECOND,
     )
 
@@ -212,9 +212,9 @@
     )
 
 
-def _decode_outcome(fields: memoryview) -> api.Outcome:
+def _decode_outcome(fields: memoryview) -> api.AttemptOutcome:
     request_id, attempt, engine_id, status, duration_ns, is_final, note = OUTCOME.unpack_from(fields)
-    return api.Outcome(
+    return api.AttemptOutcome(
         request_id=request_id,
         attempt=attempt,
         engine_id=engine_id,
@@ -227,16 +227,18 @@
     )
 
 
-def _decode_started(fields: memoryview) -> api.Started:
+def _decode_started(fields: memoryview) -> api.StreamStarted:
     request_id, attempt, engine_id = STARTED.unpack_from(fields)
-    return api.Started(request_id, attempt, engine_id)
+    return api.StreamStarted(request_id, attempt, engine_id)
 
 
-def _decode_note(fields: memoryview) -> api.Note | None:
+def _decode_note(fields: memoryview) -> api.AttemptUpdate | None:
     request_id, engine_id, kind, value, attempt = NOTE.unpack_from(fields)
     if kind not in NOTE_KINDS:
         return None
-    return api.Note(request_id, attempt, engine_id, api.NoteKind(kind), _non_negative(value))
+    return api.AttemptUpdate(
+        request_id, attempt, engine_id, api.AttemptUpdateKind(kind), _non_negative(value)
+    )
 
 
 def _decode_probe_result(fields: memoryview) -> api.ProbeResult:
@@ -247,9 +249,9 @@
     )
 
 
-def _decode_timer(fields: memoryview) -> api.Timer:
+def _decode_timer(fields: memoryview) -> api.TimerFired:
     (token,) = TIMER_TOKEN.unpack_from(fields)
-    return api.Timer(token)
+    return api.TimerFired(token)
 
 
 def _decode_client_gone(fields: memoryview) -> api.ClientGone:
--- a/applevale/simulator_wire/encoder.py
+++ b/applevale/simulator_wire/encoder.py
@@ -58,7 +58,7 @@
     )
 
 
-def _encode_terms(action: api.Terms) -> bytes:
+def _encode_terms(action: api.SetResources) -> bytes:
     return _encode_record(ActionCode.TERMS, TERMS.pack(action.request_id, action.memory_mb, action.priority))
 
 
@@ -86,11 +86,11 @@
     return _encode_text(ActionCode.LOG, action.text)
 
 
-def _encode_subscribe(action: api.Subscribe) -> bytes:
+def _encode_subscribe(action: api.SubscribeToEngineList) -> bytes:
     return _encode_record(ActionCode.SUBSCRIBE, FLAG.pack(action.active))
 
 
-def _encode_fetch_list(action: api.FetchList) -> bytes:
+def _encode_fetch_list(action: api.FetchEngineList) -> bytes:
     return _encode_record(ActionCode.FETCH_LIST)
 
 
@@ -102,15 +102,15 @@
 
 _ENCODERS: dict[type, Callable[[Any], bytes]] = {
     api.Send: _encode_send,
-    api.Terms: _encode_terms,
+    api.SetResources: _encode_terms,
     api.Reject: _encode_reject,
     api.Fail: _encode_fail,
     api.Cancel: _encode_cancel,
     api.Probe: _encode_probe,
     api.SetTimer: _encode_set_timer,
     api.Log: _encode_log,
-    api.Subscribe: _encode_subscribe,
-    api.FetchList: _encode_fetch_list,
+    api.SubscribeToEngineList: _encode_subscribe,
+    api.FetchEngineList: _encode_fetch_list,
     api.SendPeerMessage: _encode_peer_message,
 }
 
--- a/applevale/simulator_wire/layout.py
+++ b/applevale/simulator_wire/layout.py
@@ -60,15 +60,15 @@
 RESULTS = {
     100: api.Result.OK,
     301: api.Result.ERROR,
-    302: api.Result.FULL,
+    302: api.Result.REJECTED,
     303: api.Result.TIMEOUT,
     304: api.Result.CONNECT_FAILED,
     305: api.Result.RESET,
     306: api.Result.CANCELLED,
-    307: api.Result.MOOT,
+    307: api.Result.WITHDRAWN,
 }
-STATES = {0: api.State.DRAINING, 2: api.State.READY, 3: api.State.GONE}
-NOTE_KINDS = {kind.value for kind in api.NoteKind}
+STATES = {0: api.EngineState.DRAINING, 2: api.EngineState.READY, 3: api.EngineState.GONE}
+NOTE_KINDS = {kind.value for kind in api.AttemptUpdateKind}
 
 
 class EventCode(IntEnum):
--- a/applevale/simulator_wire/settings.py
+++ b/applevale/simulator_wire/settings.py
@@ -114,7 +114,7 @@
 def _read_class(lines: SettingLines, index: int, zones: list[str], kinds: list[str]) -> api.ClassSpec:
     path = f"classes.{index}."
     try:
-        repeat = api.Repeat(lines.get(path + "repeat", str))
+        repeat = api.RepeatPolicy(lines.get(path + "repeat", str))
     except ValueError:
         raise api.SettingsError(f"{path}repeat: safe, keyed or unsafe is needed") from None
     return api.ClassSpec(
--- a/applevale/zones/zone_router.py
+++ b/applevale/zones/zone_router.py
@@ -20,7 +20,7 @@
 from .settings import ZoneSettings
 from .sliding_window import SlidingWindow
 
-SUCCESSES = frozenset({api.Result.OK, api.Result.FULL})  # The engine responded.
+SUCCESSES = frozenset({api.Result.OK, api.Result.REJECTED})  # The engine responded.
 FAILURES = frozenset({api.Result.CONNECT_FAILED, api.Result.RESET, api.Result.TIMEOUT})
 
 
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -47,6 +47,7 @@
         # Fields are found by their positions, since other versions have other names for some of them.
         self.probed_engine = attrgetter(api.Probe.__match_args__[0])
         self.receiving_engine = attrgetter(api.Send.__match_args__[1])
+        self.outcome_type = getattr(api, "AttemptOutcome", None) or api.Outcome  # its former name
         self.engine_states = type(api.EngineEntry(1).state)
         known = api.Settings.__dataclass_fields__
         settings = api.Settings(
@@ -77,7 +78,7 @@
             actions = self.controller.handle(self.now, results)
         for send in (action for action in actions if isinstance(action, api.Send)):
             engine = self.receiving_engine(send)
-            outcome = api.Outcome(number, 0, engine, api.Result.OK, 0.1, True, 0.2, 40.0, (5.0,))
+            outcome = self.outcome_type(number, 0, engine, api.Result.OK, 0.1, True, 0.2, 40.0, (5.0,))
             self.controller.handle(self.now + 0.05, [outcome])
 
     def time_list_events(self) -> float:
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -59,13 +59,13 @@
         self.handle(api.EngineList(entries, whole=True))
 
     def handle(self, *events) -> list:
-        """Handle a batch of events; return the actions except `SetTimer` and `Terms`."""
+        """Handle a batch of events; return the actions except `SetTimer` and `SetResources`."""
         actions = self.controller.handle(self.now, events)
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now + action.after, action.token))
             self.log.append((self.now, action))
-        return [action for action in actions if not isinstance(action, (api.SetTimer, api.Terms))]
+        return [action for action in actions if not isinstance(action, (api.SetTimer, api.SetResources))]
 
     def submit(
         self, class_index: int = 0, timeout: float = 0.0, work: float = 0.2, memory: float = 50.0, **fields
@@ -106,13 +106,13 @@
             attempt: Index of the attempt among those of its request.
             work: Work that a completed attempt used, in core seconds.
             memory: Memory that a completed attempt used, in MB.
-            **fields: Other fields of `api.Outcome`.
+            **fields: Other fields of `api.AttemptOutcome`.
         """
         is_completed = result is api.Result.OK
         is_final = fields.pop("is_final", is_completed)
         used_work = work if is_completed else 0.0
         used_memory = memory if is_completed else 0.0
-        outcome = api.Outcome(
+        outcome = api.AttemptOutcome(
             send.request_id,
             attempt,
             send.engine_id,
@@ -133,7 +133,7 @@
             due, token = min(self.timers)
             self.timers.remove((due, token))
             self.now = max(self.now, due)
-            actions += self.handle(api.Timer(token))
+            actions += self.handle(api.TimerFired(token))
         self.now = end
         return actions
 
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -7,7 +7,7 @@
 from applevale import api
 
 Result = api.Result
-NEVER_EXECUTED = {Result.FULL, Result.CONNECT_FAILED, Result.MOOT}
+NEVER_EXECUTED = {Result.REJECTED, Result.CONNECT_FAILED, Result.WITHDRAWN}
 POSSIBLY_RUNNING = {Result.TIMEOUT, Result.RESET, Result.CANCELLED}
 
 
@@ -45,7 +45,7 @@
     def on_entry(self, now, entry):
         """Record an entry of the list of engines."""
         self.engines[entry.engine_id] = entry
-        if entry.state is api.State.READY:
+        if entry.state is api.EngineState.READY:
             self.unready_since.pop(entry.engine_id, None)
         else:
             self.unready_since.setdefault(entry.engine_id, now)
@@ -95,8 +95,8 @@
         is_after_stall = self.stall_start <= due and now == self.stall_end
         assert now <= due or is_after_stall, "the final answer is too late"
         spec = self.settings.classes[request.class_index]
-        is_repeatable = spec.repeat is api.Repeat.SAFE
-        is_repeatable |= spec.repeat is not api.Repeat.UNSAFE and spec.group == "all"
+        is_repeatable = spec.repeat is api.RepeatPolicy.SAFE
+        is_repeatable |= spec.repeat is not api.RepeatPolicy.UNSAFE and spec.group == "all"
         if isinstance(action, api.Reject) and not is_repeatable:
             results = [attempt.result for attempt in self.attempts[action.request_id]]
             assert all(result in NEVER_EXECUTED for result in results), (
@@ -127,8 +127,8 @@
         if not possibly_executed:
             return
         first = possibly_executed[0]
-        assert spec.repeat is not api.Repeat.UNSAFE, "an unsafe request was sent again"
-        if spec.repeat is api.Repeat.KEYED:
+        assert spec.repeat is not api.RepeatPolicy.UNSAFE, "an unsafe request was sent again"
+        if spec.repeat is api.RepeatPolicy.KEYED:
             assert entry.zone == first.zone, "a keyed request was sent again to another zone"
             assert now <= first.sent_at + spec.repeat_window, (
                 "a keyed request was sent again after its repeat window"
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -34,7 +34,9 @@
             for action in controller.handle(now, tuple(requests)):
                 if isinstance(action, api.Send):
                     sent.append(now)
-                    outcome = api.Outcome(action.request_id, 0, 1, api.Result.OK, 0.1, True, WORK, 10.0)
+                    outcome = api.AttemptOutcome(
+                        action.request_id, 0, 1, api.Result.OK, 0.1, True, WORK, 10.0
+                    )
                     controller.handle(now, (outcome,))
         now += STEP
     assert len(sent) > 50
--- a/tests/test_corrupt_replies.py
+++ b/tests/test_corrupt_replies.py
@@ -131,7 +131,7 @@
         pool.start_attempt(1, AttemptSpec(b"1", "load", b"x", inf, inf), set(), results.append)
 
     asyncio.run(start_attempt())
-    assert results == [AttemptFailed(Progress.NOT_SENT, api.Result.MOOT)]
+    assert results == [AttemptFailed(Progress.NOT_SENT, api.Result.WITHDRAWN)]
     assert list(pool.engines) == [2]
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,11 +24,11 @@
 from applevale.server.listener import RpcServer
 
 SAFE = api.ClassSpec("read", deadline=30.0)
-UNSAFE = api.ClassSpec("write", deadline=30.0, repeat=api.Repeat.UNSAFE)
-KEYED = api.ClassSpec("merge", deadline=30.0, repeat=api.Repeat.KEYED, repeat_window=0.2)
+UNSAFE = api.ClassSpec("write", deadline=30.0, repeat=api.RepeatPolicy.UNSAFE)
+KEYED = api.ClassSpec("merge", deadline=30.0, repeat=api.RepeatPolicy.KEYED, repeat_window=0.2)
 SETTINGS = api.Settings((SAFE, UNSAFE, KEYED), (api.KindSpec("k"),))
 RESET = AttemptFailed(Progress.POSSIBLY_EXECUTED, api.Result.RESET)
-FULL = AttemptFailed(Progress.SENT_NOT_EXECUTED, api.Result.FULL)
+REJECTED = AttemptFailed(Progress.SENT_NOT_EXECUTED, api.Result.REJECTED)
 SUCCEEDED = AttemptSucceeded(b"r")
 
 
@@ -82,7 +82,7 @@
         self.driver = EventLoopDriver(FakeController(), self.pool, self.pool.counters)
         self.handler = handler.RequestHandler(self.driver, self.pool, SETTINGS, self.pool.counters)
         self.results = []
-        self.set_engine_state(api.State.READY)
+        self.set_engine_state(api.EngineState.READY)
 
     def set_engine_state(self, state):
         entry = api.EngineEntry(1, state=state)
@@ -161,13 +161,13 @@
     "class_index, result, response",
     [
         (0, RESET, model.Rejected(0.0)),
-        (0, FULL, model.Rejected(0.0)),
+        (0, REJECTED, model.Rejected(0.0)),
         (0, SUCCEEDED, model.Completed(b"r")),
         (1, RESET, model.Failed()),
-        (1, FULL, model.Rejected(0.0)),
+        (1, REJECTED, model.Rejected(0.0)),
         (1, SUCCEEDED, model.Completed(b"r")),
         (2, RESET, model.Failed()),
-        (2, FULL, model.Rejected(0.0)),
+        (2, REJECTED, model.Rejected(0.0)),
         (2, SUCCEEDED, model.Completed(b"r")),
     ],
 )
@@ -248,23 +248,23 @@
             attempt = setup.start_attempt(b"2", start_window=0.05)
             await asyncio.sleep(0.06)
         elif change == "drain":
-            setup.set_engine_state(api.State.DRAINING)
+            setup.set_engine_state(api.EngineState.DRAINING)
         elif change == "engine gone":
-            setup.set_engine_state(api.State.GONE)
+            setup.set_engine_state(api.EngineState.GONE)
         elif change == "client gone":  # its hang-up is still unread
             has_hung_up = True
         else:
             attempt.cancel(api.Result.TIMEOUT)
         loop.may_connect.set()
         await wait_until(lambda: attempt.is_finished)
-        setup.set_engine_state(api.State.READY)
+        setup.set_engine_state(api.EngineState.READY)
         setup.start_attempt(b"9")
         await wait_until(setup.engine.request_ids)
         return setup.engine.request_ids(), {
             result.result for request_id, result in setup.results if request_id != b"9"
         }
 
-    assert run_steps(steps) == ([b"9"], {api.Result.MOOT})
+    assert run_steps(steps) == ([b"9"], {api.Result.WITHDRAWN})
 
 
 def test_a_retry_is_not_sent_after_the_repeat_window():
@@ -296,8 +296,10 @@
         engine_connection = setup.pool.engines[1].connections[0]
         attempts = engine_connection.streams.attempts
         started = {request_id for request_id, attempt in attempts.items() if attempt.message.write_started}
-        setup.set_engine_state(api.State.DRAINING)
-        withdrawn = {request_id for request_id, result in setup.results if result.result is api.Result.MOOT}
+        setup.set_engine_state(api.EngineState.DRAINING)
+        withdrawn = {
+            request_id for request_id, result in setup.results if result.result is api.Result.WITHDRAWN
+        }
         drained_at = time.monotonic()
         await wait_until(lambda: len(setup.results) == 30)
         duration = time.monotonic() - drained_at
@@ -320,7 +322,7 @@
         setup.pool.withdraw_unsent(1)
         return attempt.is_finished, setup.results
 
-    assert run_steps(steps) == (True, [(b"1", AttemptFailed(Progress.NOT_SENT, api.Result.MOOT))])
+    assert run_steps(steps) == (True, [(b"1", AttemptFailed(Progress.NOT_SENT, api.Result.WITHDRAWN))])
 
 
 def test_nothing_is_sent_for_a_client_whose_hang_up_is_unread():
@@ -334,9 +336,11 @@
             event for batch in setup.driver.controller.batches for event in batch
         ]
         task.cancel()
-        return request.in_flight, [event.result for event in submitted if isinstance(event, api.Outcome)]
+        return request.in_flight, [
+            event.result for event in submitted if isinstance(event, api.AttemptOutcome)
+        ]
 
-    assert run_steps(steps) == (None, [api.Result.MOOT])
+    assert run_steps(steps) == (None, [api.Result.WITHDRAWN])
 
 
 def test_after_a_stall_sockets_are_read_before_a_batch_decides():
@@ -352,9 +356,9 @@
 
         controller = setup.driver.controller
         read_task = asyncio.create_task(read())
-        setup.driver.submit(api.Timer(1))
+        setup.driver.submit(api.TimerFired(1))
         await wait_until(lambda: controller.batches)
-        setup.driver.submit(api.Timer(2))
+        setup.driver.submit(api.TimerFired(2))
         client_socket.send(b"x")
         time.sleep(0.15)  # stalls the loop until after the batch is due
         await wait_until(lambda: len(controller.batches) > 1)
@@ -363,7 +367,7 @@
         client_socket.close()
         return controller.batches[1]
 
-    assert run_steps(steps) == [api.Timer(2), api.ClientGone(7)]
+    assert run_steps(steps) == [api.TimerFired(2), api.ClientGone(7)]
 
 
 def open_client_connection(setup):
@@ -512,7 +516,7 @@
         setup.start_attempt(b"1")
         await wait_until(setup.engine.request_ids)
         (first_connection,) = setup.pool.engines[1].connections
-        first_connection.streams.attempts[b"1"].finish(FULL)
+        first_connection.streams.attempts[b"1"].finish(REJECTED)
         # The event loop does not read the close before the next attempt starts.
         setup.engine.writers[0].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         first_connection.send_command = None  # fails the test if the connection is used
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -231,11 +231,11 @@
         wait = paced.schedule.slot_offset(1)
         paced.list_engine()
         assert wait > 0.1 and not paced.pool.connect_policy.may_connect(1)
-        assert paced.endpoints.apply_update(paced.update).entries[0].state is api.State.DRAINING
+        assert paced.endpoints.apply_update(paced.update).entries[0].state is api.EngineState.DRAINING
         await advance(loop, wait / 2)
         assert not paced.submitted and not paced.changed_at
         await advance(loop, wait / 2)
-        assert paced.submitted_states() == [api.State.READY]
+        assert paced.submitted_states() == [api.EngineState.READY]
         assert paced.changed_at == [loop.now] and paced.pool.connect_policy.may_connect(1)
 
     run(test)
@@ -250,10 +250,9 @@
         paced.pool.connect_policy.record_connect(1)
         paced.submitted.clear()
         paced.pool.connect_policy.record_disconnect(1)
-        assert paced.submitted_states() == [api.State.DRAINING] and not paced.pool.connect_policy.may_connect(
-            1
-        )
+        assert paced.submitted_states() == [api.EngineState.DRAINING]
+        assert not paced.pool.connect_policy.may_connect(1)
         await advance(loop, paced.schedule.allowed_from[1] - loop.now)
-        assert paced.submitted_states() == [api.State.DRAINING, api.State.READY]
+        assert paced.submitted_states() == [api.EngineState.DRAINING, api.EngineState.READY]
 
     run(test)
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -50,18 +50,18 @@
 def test_the_list_updates_in_one_batch_are_merged():
     controller = FakeController()
     ready = api.EngineEntry(1)
-    draining = api.EngineEntry(1, state=api.State.DRAINING)
-    other = api.EngineEntry(2, state=api.State.GONE)
+    draining = api.EngineEntry(1, state=api.EngineState.DRAINING)
+    other = api.EngineEntry(2, state=api.EngineState.GONE)
 
     async def steps(driver):
         driver.submit(api.EngineList((api.EngineEntry(9),)))
         driver.submit(api.EngineList((ready,), whole=True))
-        driver.submit(api.Timer(3))
+        driver.submit(api.TimerFired(3))
         driver.submit(api.EngineList((draining, other)))
         await wait_until(lambda: controller.batches)
 
     run_driver(controller, steps)
-    assert controller.batches == [[api.EngineList((draining, other), whole=True), api.Timer(3)]]
+    assert controller.batches == [[api.EngineList((draining, other), whole=True), api.TimerFired(3)]]
 
 
 def test_an_engine_is_reported_as_outlier_until_its_ejection_ends():
@@ -85,16 +85,16 @@
         await wait_until(lambda: len(controller.batches) == 2)
 
     run_driver(controller, steps)
-    assert controller.batches == [[api.ClientGone(1), api.ClientGone(2)], [api.Timer(7)]]
+    assert controller.batches == [[api.ClientGone(1), api.ClientGone(2)], [api.TimerFired(7)]]
 
 
 def test_the_driver_continues_after_an_error_of_the_controller():
     controller = FakeController(ValueError("x"))
 
     async def steps(driver):
-        driver.submit(api.Timer(1))
+        driver.submit(api.TimerFired(1))
         await wait_until(lambda: controller.batches)
-        driver.submit(api.Timer(2))
+        driver.submit(api.TimerFired(2))
         await wait_until(lambda: len(controller.batches) == 2)
 
     assert run_driver(controller, steps).counters["module_errors"] == 1
@@ -110,7 +110,7 @@
     controller = FakeController([api.Probe(3)])
 
     async def steps(driver):
-        driver.submit(api.Timer(1))
+        driver.submit(api.TimerFired(1))
         await wait_until(lambda: len(controller.batches) == 2)
 
     run_driver(controller, steps)
@@ -182,9 +182,9 @@
 
 def test_an_attempt_whose_write_has_not_started_was_not_executed():
     attempt, results = attempt_on_connection(write_started=False)
-    assert attempt.result_after_disconnect().result in api.NEVER_RAN
+    assert attempt.result_after_disconnect().result in api.NEVER_EXECUTED
     attempt.cancel(api.Result.CANCELLED)
-    assert results == [AttemptFailed(Progress.NOT_SENT, api.Result.MOOT)]
+    assert results == [AttemptFailed(Progress.NOT_SENT, api.Result.WITHDRAWN)]
     assert attempt.connection.commands == []
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from applevale.api import State
+from applevale.api import EngineState
 from applevale.checkers import coldstart as verify
 from applevale.checkers.history import History, max_in_window, read_history
 from applevale.discovery.registry.settings import RegistrySettings
@@ -131,7 +131,7 @@
         )
     )
     await asyncio.sleep(1.5)
-    await fleet.engines.set_state(0, State.DRAINING)
+    await fleet.engines.set_state(0, EngineState.DRAINING)
     await asyncio.sleep(1.5)
     await late
 
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -292,7 +292,7 @@
         async with asyncio.timeout(10):
             while counters["news_heard"] < 1 or counters["news_unreadable"] < 2:
                 await asyncio.sleep(0)
-            driver.submit(api.Timer(5))  # Load reports wait for the next batch and do not start one.
+            driver.submit(api.TimerFired(5))  # Load reports wait for the next batch and do not start one.
             while not controller.events:
                 await asyncio.sleep(0)
         for stoppable in (first_sender, second_sender, first_socket, second_socket):
@@ -300,7 +300,11 @@
         return controller.events
 
     events = asyncio.run(main())
-    assert events == [api.PeerLoadReport(2, (), 4), api.PeerLoadReport(1, (7.0, -1.0, -1.0)), api.Timer(5)]
+    assert events == [
+        api.PeerLoadReport(2, (), 4),
+        api.PeerLoadReport(1, (7.0, -1.0, -1.0)),
+        api.TimerFired(5),
+    ]
 
 
 def test_peers_are_read_from_the_configuration_and_the_error_names_an_invalid_address():
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -11,8 +11,8 @@
 from applevale.observability.counters import Counters
 from applevale.policy.load_estimation import LoadEstimator
 
-READY = api.State.READY
-GONE = api.State.GONE
+READY = api.EngineState.READY
+GONE = api.EngineState.GONE
 
 
 def driver_with_engines(count=1000, **settings):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -50,7 +50,7 @@
     ]
     endpoint = updates[0].endpoints[0]
     assert endpoint.address == ("10.1.0.9", 7001)
-    assert endpoint.entry == api.EngineEntry(0xC41F7A, 0, 1, 2, 4.0, api.State.DRAINING, 1.5)
+    assert endpoint.entry == api.EngineEntry(0xC41F7A, 0, 1, 2, 4.0, api.EngineState.DRAINING, 1.5)
 
 
 @given(st.binary(max_size=200))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -32,8 +32,8 @@
     send = driver.send_request(1, work=1.0, tables=1.0)
     driver.now += 3.0
     driver.timers.clear()
-    outcome = api.Outcome(send.request_id, 0, send.engine_id, api.Result.OK, 0.4, True, 1.0, 50.0)
-    actions = driver.handle(api.Timer(0), outcome)
+    outcome = api.AttemptOutcome(send.request_id, 0, send.engine_id, api.Result.OK, 0.4, True, 1.0, 50.0)
+    actions = driver.handle(api.TimerFired(0), outcome)
     assert not actions_of(api.Cancel, actions)
     assert not actions_of(api.Log, actions)
     assert not any(engine.health.on_probation for engine in driver.controller.engines.values())
@@ -44,7 +44,7 @@
     driver.submit(1)
     driver.now += 1.5
     driver.timers.clear()
-    driver.handle(api.Timer(0))
+    driver.handle(api.TimerFired(0))
     request_id, _ = driver.submit(timeout=4.0)
     submitted_at = driver.now
     driver.run(5.0)
@@ -68,11 +68,11 @@
 def test_events_about_unknown_requests_and_engines_are_ignored():
     driver = PolicyDriver()
     assert not driver.handle(
-        api.Outcome(77, 0, 1, api.Result.OK),
+        api.AttemptOutcome(77, 0, 1, api.Result.OK),
         api.ClientGone(88),
-        api.Note(99, 0, 1, api.NoteKind.SPILLS),
+        api.AttemptUpdate(99, 0, 1, api.AttemptUpdateKind.SPILLING),
         api.ProbeResult(55, api.Result.OK),
-        api.Started(44, 0, 1),
+        api.StreamStarted(44, 0, 1),
         api.PeerMessage(3, b"x"),
     )
     not_a_number = float("nan")
@@ -85,9 +85,9 @@
 
 def test_a_failed_subscription_is_retried_with_backoff():
     driver = PolicyDriver(discovery_push=False)
-    assert driver.logged(api.Subscribe)
+    assert driver.logged(api.SubscribeToEngineList)
     driver.handle(api.EngineList(failed=True))
-    assert len(actions_of(api.Subscribe, driver.run(2.0))) == 1
+    assert len(actions_of(api.SubscribeToEngineList, driver.run(2.0))) == 1
 
 
 @pytest.mark.parametrize("key, value", [("gateways", 0), ("warm_up", float("nan")), ("drain_grace", -1.0)])
@@ -142,7 +142,7 @@
 def test_a_removed_engine_is_kept_until_its_attempts_have_ended():
     driver = PolicyDriver(engines=2)
     send = driver.send_request()
-    driver.handle(api.EngineList((api.EngineEntry(send.engine_id, state=api.State.GONE),)))
+    driver.handle(api.EngineList((api.EngineEntry(send.engine_id, state=api.EngineState.GONE),)))
     assert send.engine_id in driver.controller.engines
     driver.finish(send)
     assert send.engine_id not in driver.controller.engines
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -79,8 +79,8 @@
     for is_honored in (True, False):
         driver = PolicyDriver(memory_heeded=is_honored)
         driver.submit(1, memory=1000.0)
-        (terms,) = driver.logged(api.Terms)
-        assert (terms.memory_mb > 0) is is_honored
+        (resources,) = driver.logged(api.SetResources)
+        assert (resources.memory_mb > 0) is is_honored
 
 
 def test_light_values_do_not_hide_heavy_ones_in_a_decaying_mean():
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -8,7 +8,7 @@
 from applevale import api
 
 Result = api.Result
-UNSAFE = replace(LOOKUP, repeat=api.Repeat.UNSAFE)
+UNSAFE = replace(LOOKUP, repeat=api.RepeatPolicy.UNSAFE)
 
 
 def test_an_unsafe_request_that_may_have_been_executed_fails_without_a_retry():
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
 def test_a_keyed_request_is_retried_only_in_its_repeat_group_and_window(group):
-    keyed = replace(LOOKUP, repeat=api.Repeat.KEYED, group=group, repeat_window=1.0)
+    keyed = replace(LOOKUP, repeat=api.RepeatPolicy.KEYED, group=group, repeat_window=1.0)
     entries = tuple(api.EngineEntry(engine, zone=engine % 2, cell=engine % 2) for engine in range(1, 7))
     driver = PolicyDriver(classes=(keyed,), entries=entries)
     first = driver.send_request()
@@ -49,10 +49,10 @@
 def test_a_request_is_answered_when_its_repeat_window_ends(group, answer):
     """It must not wait until its deadline, since it cannot have another attempt."""
     keyed = api.ClassSpec(
-        "post", aim=3.0, deadline=20.0, repeat=api.Repeat.KEYED, group=group, repeat_window=0.5
+        "post", aim=3.0, deadline=20.0, repeat=api.RepeatPolicy.KEYED, group=group, repeat_window=0.5
     )
     ready = (api.EngineEntry(1, cell=1), api.EngineEntry(2, cell=2))
-    draining = tuple(replace(entry, state=api.State.DRAINING) for entry in ready)
+    draining = tuple(replace(entry, state=api.EngineState.DRAINING) for entry in ready)
     driver = PolicyDriver(entries=ready, classes=(keyed,))
     _, actions = driver.submit()
     (send,) = actions_of(api.Send, actions)
@@ -126,6 +126,6 @@
     request_id, _ = driver.submit(1, work=3.0)
     engine = driver.pending_request(request_id).attempts[0].entry.engine_id
     driver.run(0.7)
-    assert not driver.handle(api.Note(request_id, 0, engine, api.NoteKind.PROGRESS, 0.5))
-    actions = driver.handle(api.Note(request_id, 0, engine, api.NoteKind.PROGRESS, 0.01))
+    assert not driver.handle(api.AttemptUpdate(request_id, 0, engine, api.AttemptUpdateKind.PROGRESS, 0.5))
+    actions = driver.handle(api.AttemptUpdate(request_id, 0, engine, api.AttemptUpdateKind.PROGRESS, 0.01))
     assert actions_of(api.Cancel, actions)
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -30,7 +30,7 @@
 
 def test_a_draining_engine_gets_no_new_requests():
     driver = PolicyDriver(engines=2)
-    driver.handle(api.EngineList((api.EngineEntry(1, state=api.State.DRAINING),)))
+    driver.handle(api.EngineList((api.EngineEntry(1, state=api.EngineState.DRAINING),)))
     for group in range(20):
         assert driver.send_request(tables=float(group), work=0.05).engine_id == 2
 
@@ -56,7 +56,7 @@
 
 
 def test_table_loads_avoid_the_engines_of_their_readers_and_have_a_high_priority():
-    load = replace(REPORT, repeat=api.Repeat.UNSAFE, load=True, worth=0.1)
+    load = replace(REPORT, repeat=api.RepeatPolicy.UNSAFE, load=True, worth=0.1)
     engines_of_readers = set()
     engines_of_table_loads = set()
     priorities = set()
@@ -67,7 +67,11 @@
         engines_of_readers |= {send.engine_id for send in actions_of(api.Send, actions)}
         request_id, actions = driver.submit(1, tables=4.0, work=3.0)
         engines_of_table_loads |= {send.engine_id for send in actions_of(api.Send, actions)}
-        priorities |= {terms.priority for terms in driver.logged(api.Terms) if terms.request_id == request_id}
+        priorities |= {
+            resources.priority
+            for resources in driver.logged(api.SetResources)
+            if resources.request_id == request_id
+        }
     assert len(engines_of_readers) == 3
     assert len(engines_of_table_loads) > 3
     assert not engines_of_readers & engines_of_table_loads
--- a/tests/test_policy_wait_queue.py
+++ b/tests/test_policy_wait_queue.py
@@ -9,7 +9,7 @@
 from applevale.policy import AdmissionController
 
 Result = api.Result
-ORDERED = replace(LOOKUP, repeat=api.Repeat.UNSAFE, ordered=True)
+ORDERED = replace(LOOKUP, repeat=api.RepeatPolicy.UNSAFE, ordered=True)
 
 
 def request_ids(kind, actions):
@@ -18,7 +18,7 @@
 
 
 def test_a_request_waits_for_an_engine_to_become_ready():
-    driver = PolicyDriver(entries=(api.EngineEntry(1, state=api.State.DRAINING),))
+    driver = PolicyDriver(entries=(api.EngineEntry(1, state=api.EngineState.DRAINING),))
     request_id, actions = driver.submit()
     assert not actions
     actions = driver.handle(api.EngineList((api.EngineEntry(2),)))
@@ -26,7 +26,7 @@
 
 
 def test_the_wait_queue_is_bounded():
-    driver = PolicyDriver(entries=(api.EngineEntry(1, state=api.State.DRAINING),))
+    driver = PolicyDriver(entries=(api.EngineEntry(1, state=api.EngineState.DRAINING),))
     rejected_count = sum(len(actions_of(api.Reject, driver.submit()[1])) for _ in range(1000))
     assert rejected_count + len(driver.controller.scheduler.waiting) == 1000
     assert 0 < len(driver.controller.scheduler.waiting) <= 500
@@ -78,8 +78,8 @@
     first = driver.send_request(order_key=7)
     second_id, actions = driver.submit(order_key=7)
     assert not actions_of(api.Send, actions + driver.finish(first, result) + driver.run(0.5))
-    answer_sent = api.AnswerSent(first.request_id, 7, 0.3)
-    assert not actions_of(api.Send, driver.handle(answer_sent) + driver.run(0.29))
+    response_sent = api.ResponseSent(first.request_id, 7, 0.3)
+    assert not actions_of(api.Send, driver.handle(response_sent) + driver.run(0.29))
     assert request_ids(api.Send, driver.run(0.2)) == [second_id]
 
 
@@ -87,7 +87,7 @@
     driver = PolicyDriver(classes=(ORDERED,), order_gap=0.02)
     first = driver.send_request(order_key=7)
     second_id, _ = driver.submit(order_key=7)
-    driver.handle(api.ClientGone(first.request_id), api.AnswerSent(first.request_id, 7, 0.4))
+    driver.handle(api.ClientGone(first.request_id), api.ResponseSent(first.request_id, 7, 0.4))
     assert not actions_of(api.Send, driver.run(0.1))
     # The end of the attempt must not shorten the pause.
     assert not actions_of(api.Send, driver.finish(first, Result.CANCELLED) + driver.run(0.25))
@@ -104,7 +104,7 @@
     assert [type(action) for action in actions] == [api.Reject]
     assert actions[0].request_id == 902
     assert not actions_of(api.Send, driver.run(0.5))
-    driver.handle(api.AnswerSent(902, 7, 0.1))
+    driver.handle(api.ResponseSent(902, 7, 0.1))
     assert request_ids(api.Send, driver.run(0.2)) == [901]
 
 
@@ -123,7 +123,7 @@
     """By this call the router learns the time, and may start the recovery of a zone."""
     router = RecordingRouter()
     controller = AdmissionController(make_settings(), 1, router)
-    draining = api.EngineEntry(1, state=api.State.DRAINING)
+    draining = api.EngineEntry(1, state=api.EngineState.DRAINING)
     controller.handle(100.0, (api.EngineList((draining,), whole=True),))
     actions = controller.handle(100.1, (api.Request(1, 0, timeout=4.0, work=30.0),))
     assert request_ids(api.Reject, actions) == [1]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -14,9 +14,18 @@
     LOOKUP,
     REPORT,
     api.ClassSpec(
-        "load", aim=2.0, deadline=6.0, worth=4.0, repeat=api.Repeat.UNSAFE, ordered=True, threads=2, load=True
+        "load",
+        aim=2.0,
+        deadline=6.0,
+        worth=4.0,
+        repeat=api.RepeatPolicy.UNSAFE,
+        ordered=True,
+        threads=2,
+        load=True,
+    ),
+    api.ClassSpec(
+        "keyed", aim=1.0, deadline=4.0, repeat=api.RepeatPolicy.KEYED, group="zone", repeat_window=1.5
     ),
-    api.ClassSpec("keyed", aim=1.0, deadline=4.0, repeat=api.Repeat.KEYED, group="zone", repeat_window=1.5),
     api.ClassSpec("bound", aim=1.0, deadline=4.0, kinds=frozenset({1}), zones=frozenset({0, 1})),
 )
 SETTINGS = (
@@ -88,7 +97,7 @@
                 self.checker.on_entry(now, entry)
         elif isinstance(event, api.Request):
             self.checker.on_request(now, event)
-        elif isinstance(event, api.Outcome):
+        elif isinstance(event, api.AttemptOutcome):
             self.checker.on_outcome(now, event)
         start = len(self.driver.log)
         self.driver.handle(event)
@@ -142,10 +151,12 @@
             self.checker.ended_at.pop(request_id, None)
             report = tuple(self.random.choice([0.5, -1.0, 1e9]) for _ in self.driver.settings.report_columns)
             engine = item.send.engine_id
-            self.handle(api.Outcome(request_id, item.attempt, engine, result, 0.2, final, 0.2, 60.0, report))
+            self.handle(
+                api.AttemptOutcome(request_id, item.attempt, engine, result, 0.2, final, 0.2, 60.0, report)
+            )
 
     def _draw_result(self, weight_of_ok):
-        results = [Result.OK, Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET]
+        results = [Result.OK, Result.ERROR, Result.REJECTED, Result.CONNECT_FAILED, Result.RESET]
         return self.random.choices(results, [weight_of_ok, 1, 0.5, 0.5, 0.5])[0]
 
     def end_probes(self):
@@ -154,7 +165,7 @@
             columns = self.driver.settings.report_columns
             values = tuple(self.random.choice([0.5, 3.0, -1.0, 1e9]) for _ in columns)
             result = self.random.choice(
-                [Result.OK, Result.OK, Result.OK, Result.FULL, Result.TIMEOUT, Result.ERROR]
+                [Result.OK, Result.OK, Result.OK, Result.REJECTED, Result.TIMEOUT, Result.ERROR]
             )
             report = values if self.random.random() < 0.9 else values[1:]
             self.handle(api.ProbeResult(item.engine, result, 0.01, report))
@@ -191,7 +202,9 @@
     def change_entry(self):
         """Change the state of a random engine."""
         entry = self.random.choice(self.entries)
-        state = self.random.choice([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE])
+        state = self.random.choice(
+            [api.EngineState.READY, api.EngineState.READY, api.EngineState.DRAINING, api.EngineState.GONE]
+        )
         started = self.driver.now - 0.5 * self.random.random()
         changed = api.EngineEntry(entry.engine_id, entry.zone, entry.kind, entry.cell, 1.0, state, started)
         self.handle(api.EngineList((changed,)))
@@ -226,7 +239,7 @@
             final = request_id in self.checker.ended_at
             self.checker.ended_at.pop(request_id, None)
             result = item.result or Result.TIMEOUT
-            self.handle(api.Outcome(request_id, item.attempt, item.send.engine_id, result, 0.2, final))
+            self.handle(api.AttemptOutcome(request_id, item.attempt, item.send.engine_id, result, 0.2, final))
 
 
 @pytest.mark.parametrize("seed", range(18))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -12,7 +12,7 @@
 import pytest
 import trustme
 
-from applevale.api import State
+from applevale.api import EngineState
 from applevale.discovery.endpoints import AttributeNames
 from applevale.discovery.registry import settings as registry_settings
 from applevale.discovery.registry.snapshot import SnapshotError, SnapshotStore
@@ -452,7 +452,7 @@
             for proxy in environment.proxies:
                 proxy.set_mode(ProxyMode.STALL)
             for listed in environment.engine_list.listed[:3]:
-                environment.engine_list.set_state(listed, State.DRAINING)
+                environment.engine_list.set_state(listed, EngineState.DRAINING)
             environment.store.put(b"applevale/engines/900", b"{}")
             environment.store.compact()
             await asyncio.sleep(1.2)
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -209,7 +209,7 @@
 def test_a_registry_record_is_read(record_format):
     names = AttributeNames(("north", "south"), ("small", "large"))
     endpoint = read_record(STORED[f"registry_record_{record_format}"].encode(), names)
-    expected_entry = api.EngineEntry(0xC41F7A, 1, 1, 3, 2.5, api.State.DRAINING, 1764652800.5)
+    expected_entry = api.EngineEntry(0xC41F7A, 1, 1, 3, 2.5, api.EngineState.DRAINING, 1764652800.5)
     assert (endpoint.entry, endpoint.address) == (expected_entry, ("10.0.0.9", 7109))
 
 
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -53,7 +53,7 @@
             for entry in publish.entries:
                 number, state = entry.endpoint.entry.engine_id, entry.endpoint.entry.state
                 self.engines[number] = state.value
-                if state is api.State.GONE:
+                if state is api.EngineState.GONE:
                     del self.engines[number]
         return [command for command in commands if not isinstance(command, Publish)]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -86,7 +86,7 @@
     assert [entry.engine_id for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
     assert engine_list.entries[1].size == 1.5
     assert engine_list.entries[1].started_at == pytest.approx(6.1)
-    assert note.kind is api.NoteKind.PROGRESS
+    assert note.kind is api.AttemptUpdateKind.PROGRESS
     assert note.value == 0.5
     assert probe.engine_id == 0x2C9011F2
     assert len(probe.load_report) == 4
@@ -107,11 +107,11 @@
         (api.Log("two servers known"), "5a13000000 1100 74776f2073657276657273206b6e6f776e"),
         (api.Probe(0x2C9011F2), "3c04000000 f211902c"),
         (api.Cancel(0x0CAA925D3A91C4, 0), "2809000000 c4913a5d92aa0c00 00"),
-        (api.Subscribe(), "6e01000000 01"),
-        (api.FetchList(), "7800000000"),
+        (api.SubscribeToEngineList(), "6e01000000 01"),
+        (api.FetchEngineList(), "7800000000"),
         (api.Fail(0x0CAA925D3A91C4), "1e08000000 c4913a5d92aa0c00"),
         (api.SendPeerMessage(None, b"hi 7"), "500a000000 ffffffff 0400 68692037"),
-        (api.Terms(0x0CAA925D3A91C4, 2, 640.0), "820d000000 c4913a5d92aa0c00 00002044 02"),
+        (api.SetResources(0x0CAA925D3A91C4, 2, 640.0), "820d000000 c4913a5d92aa0c00 00002044 02"),
     ],
 )
 def test_an_action_is_encoded(action, text):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -263,7 +263,9 @@
     driver = ZoneDriver()
     send = actions_of(api.Send, driver.submit()[1])[0]
     assert driver.zone(send) == 0
-    drained = tuple(replace(entry, state=api.State.DRAINING) for entry in driver.entries if entry.zone == 0)
+    drained = tuple(
+        replace(entry, state=api.EngineState.DRAINING) for entry in driver.entries if entry.zone == 0
+    )
     driver.handle(api.EngineList(drained))
     assert driver.router.zones[0].recovery.phase is RecoveryPhase.LOST
     assert driver.zone(actions_of(api.Send, driver.submit()[1])[0]) == 1
