--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -25,7 +25,7 @@
     is_last_resort: bool  # the request was tried there, or the engine is on probation
     zone_tier: int
     is_remote: bool  # not one of the preferred engines, or loaded beyond the limit
-    load: float
+    engine_load: float
     engine_id: int
 
 
@@ -119,7 +119,9 @@
             return Route()
         has_many_peers = self._context.settings.gateways > config.AFFINITY_ENGINES
         if has_many_peers and len(candidates) > config.MAX_EXACT_CANDIDATES:
-            best = selection.better_of_two(self._context.random, candidates, Candidate._fields.index("load"))
+            best = selection.better_of_two(
+                self._context.random, candidates, Candidate._fields.index("engine_load")
+            )
         else:
             best = min(candidates)
         return Route(self._context.engines[best.engine_id])
