--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -66,8 +66,8 @@
     work: float = 0.0  # estimated time on one core; 0 means no estimate
     memory_mb: float = 0.0  # estimated memory; 0 means no estimate
     tables: float = 0.0  # number of the table group that the request uses
-    client_retry: bool = False  # whether the client says that it sends the request again
-    order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
+    is_client_retry: bool = False  # whether the client says that it sends the request again
+    is_order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
 
 
 @dataclass(frozen=True)
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -98,18 +98,18 @@
     may_probe: bool = False  # whether engines can be probed
     probe_price: float = 0.0  # points of the result that one probe per request costs
     peer_price: float = 0.0  # points of the result that 256 bytes to peers per request cost
-    may_tell_peers: bool = False  # whether messages to other instances are allowed
-    retry_after: bool = False  # whether a rejection may advise a delay before a retry
-    parallel_tries: bool = False  # whether two attempts of a request may be in flight at a time
+    may_message_peers: bool = False  # whether messages to other instances are allowed
+    may_advise_retry_after: bool = False  # whether a rejection may advise a delay before a retry
+    allows_parallel_attempts: bool = False  # whether two attempts of a request may be in flight at a time
     over_share_worth: float = 1.0  # factor to the value of requests beyond their tenant's quota
     report_columns: tuple[str, ...] = ()  # columns: active, waiting, cpu, memory_used, disk_busy, ...
-    report_how: str = "none"  # what carries load reports: "answers", "probe", or "none"
-    memory_heeded: bool = False  # whether engines honor the memory in `SetResources`
-    ranks_heeded: bool = False  # whether engines honor the priority in `SetResources`
-    tells_cost: bool = False  # whether answers state the work and the memory that were used
+    load_report_mode: str = "none"  # what carries load reports: "answers", "probe", or "none"
+    engines_honor_memory: bool = False  # whether engines honor the memory in `SetResources`
+    engines_honor_priority: bool = False  # whether engines honor the priority in `SetResources`
+    engines_report_cost: bool = False  # whether answers state the work and the memory that were used
     progress: float = 0.0  # time between progress reports of an attempt; 0 means that there are none
     largest_share: float = 1.0  # largest share of an engine's memory that one request can get
-    when_short: str = "wait"  # what engines do when they lack memory
+    memory_shortage_mode: str = "wait"  # what engines do when they lack memory
 
     def __post_init__(self) -> None:
         """Check all values."""
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -47,7 +47,7 @@
         now = self._context.now
         if pending.is_finished or pending.is_streaming or now >= pending.deadline:
             return False
-        max_in_flight = 1 if settings.parallel_tries else 0
+        max_in_flight = 1 if settings.allows_parallel_attempts else 0
         if len(pending.attempts) >= settings.try_limit or pending.in_flight > max_in_flight:
             return False
         if pending.is_repeat_forbidden(now) or not self.has_turn(pending):
@@ -101,10 +101,10 @@
 
     def _set_resources(self, pending: PendingRequest) -> None:
         settings = self._context.settings
-        if settings.ranks_heeded or settings.memory_heeded:
+        if settings.engines_honor_priority or settings.engines_honor_memory:
             min_priority = config.MIN_TABLE_LOAD_PRIORITY if pending.spec.load else 0
             priority = max(pending.priority, min_priority)
-            memory_mb = pending.grant_mb if settings.memory_heeded else 0.0
+            memory_mb = pending.grant_mb if settings.engines_honor_memory else 0.0
             self._context.actions.append(api.SetResources(pending.request.request_id, priority, memory_mb))
 
     def _attempt_in_flight(self, event: api.AttemptOutcome | api.AttemptUpdate) -> Attempt | None:
@@ -247,7 +247,7 @@
         if drops_repeats or spec.repeat is api.RepeatPolicy.SAFE or not pending.first_executed():
             # A random delay spreads the retries of clients that are rejected together.
             delay = random.uniform(config.MIN_RETRY_AFTER_SECONDS, config.MAX_RETRY_AFTER_SECONDS)
-            retry_after = min(delay, settings.max_retry_after) if settings.retry_after else 0.0
+            retry_after = min(delay, settings.max_retry_after) if settings.may_advise_retry_after else 0.0
             action = api.Reject(pending.request.request_id, retry_after)
         self._context.actions.append(action)
         self.finish(pending)
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -123,7 +123,7 @@
         pending = PendingRequest(request, self.context, self.admission.value_factor(request.tenant))
         self.attempts.register(pending)
         self.outliers.add_probe_budget()
-        if request.order_unknown:  # its execution could break the order of its key
+        if request.is_order_unknown:  # its execution could break the order of its key
             self.attempts.reject_or_fail(pending)
             return
         self.admission.assess_memory_risk(pending, self.scheduler.preferred_engines(pending))
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -48,7 +48,7 @@
         self.work = max(self.stats.work.expect(announced_work), config.MIN_WORK_SECONDS)
         announced_mb = estimators.finite_or(max(request.memory_mb, 0.0), 0.0)
         self.memory_mb = self.stats.memory.expect(announced_mb)
-        if announced_mb and not context.settings.memory_heeded:
+        if announced_mb and not context.settings.engines_honor_memory:
             self.grant_mb = announced_mb * config.ANNOUNCED_MEMORY_MARGIN
         else:
             self.grant_mb = self.memory_mb * config.EXPECTED_MEMORY_MARGIN
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -12,7 +12,7 @@
         """Create a detector with a full probe budget."""
         self._context = context
         settings = context.settings
-        self._only_probes_report = settings.gateways > 1 and settings.report_how == "probe"
+        self._only_probes_report = settings.gateways > 1 and settings.load_report_mode == "probe"
         max_cost = config.PROBE_COST_SHARE_NO_REPORTS if self._only_probes_report else config.PROBE_COST_SHARE
         affordable_probes = max_cost / max(settings.probe_price, config.MIN_PROBE_PRICE)
         self._probes_per_request = min(config.PROBES_PER_REQUEST, affordable_probes)
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -67,7 +67,7 @@
 
     def reject(self) -> Rejected:
         """Return a rejection that is not a decision of the admission controller."""
-        return Rejected(self.settings.max_retry_after if self.settings.retry_after else 0.0)
+        return Rejected(self.settings.max_retry_after if self.settings.may_advise_retry_after else 0.0)
 
 
 @dataclass(slots=True)
@@ -144,7 +144,7 @@
             request.estimated_memory_mb,
             request.table_group,
             request.is_client_retry,
-            request.order_unknown,
+            request.is_order_unknown,
         )
         self._driver.submit(event)
 
--- a/applevale/requests/model.py
+++ b/applevale/requests/model.py
@@ -27,7 +27,7 @@
         estimated_memory_mb: The client's estimate of the memory in MB; 0 for none.
         table_group: Number of the table group that the statement uses; 0 for none.
         is_client_retry: Whether the client marked the request as a retry.
-        order_unknown: Whether it may have arrived before a request with the same key that was read earlier.
+        is_order_unknown: Whether it may have arrived before an earlier-read request with the same key.
         is_client_gone: Returns whether the client has hung up, even if the end of the stream is unread.
         idempotency_key: Engines recognize a repeated request by it in place of the id; empty for none.
     """
@@ -43,7 +43,7 @@
     estimated_memory_mb: float = 0.0
     table_group: float = 0.0
     is_client_retry: bool = False
-    order_unknown: bool = False
+    is_order_unknown: bool = False
     is_client_gone: Callable[[], bool] = never_gone
     idempotency_key: str = ""
 
--- a/applevale/runtime/optional_components.py
+++ b/applevale/runtime/optional_components.py
@@ -60,7 +60,7 @@
     settings = config.settings
     if config.peers is None or config.peers.everyone is None:
         return False
-    return not controller.outliers.probes_before_send and settings.may_tell_peers and settings.gateways > 1
+    return not controller.outliers.probes_before_send and settings.may_message_peers and settings.gateways > 1
 
 
 def create_datagrams(config: Config, counters: Counters) -> DatagramSocket:
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -119,7 +119,7 @@
             request.order_key, self.arrival_source, self._earliest_arrival, received_at
         ):
             self._counters["unsure_order"] += 1
-            request = replace(request, order_unknown=True)
+            request = replace(request, is_order_unknown=True)
         return request
 
     def _reject_invalid_request(self, message_id: int, error: InvalidRequestError) -> None:
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -208,7 +208,7 @@
         work=work_ns / NANOSECONDS_PER_SECOND if options & HAS_WORK_ESTIMATE else 0.0,
         memory_mb=_non_negative(memory_mb),
         tables=tables if isfinite(tables) else 0.0,
-        client_retry=bool(options & IS_CLIENT_RETRY),
+        is_client_retry=bool(options & IS_CLIENT_RETRY),
     )
 
 
--- a/applevale/simulator_wire/settings.py
+++ b/applevale/simulator_wire/settings.py
@@ -104,7 +104,7 @@
         probe_price=lines.get("prices.probe", float, 0.0),
         peer_price=lines.get("prices.peer", float, 0.0),
         report_columns=_read_report_columns(lines),
-        report_how=lines.get("stats.how", str, "none"),
+        load_report_mode=lines.get("stats.how", str, "none"),
         **_read_guarantees(lines),
         **_read_limits(lines),
         **_read_engine_traits(lines),
@@ -184,18 +184,18 @@
         "max_retry_after": lines.get_seconds("limits.max_retry_after", 0.0),
         "may_cancel": lines.get("limits.cancel", bool, False),
         "may_probe": lines.get("limits.may_probe", bool, False),
-        "may_tell_peers": lines.get("limits.peers", bool, False),
-        "retry_after": lines.get("limits.retry_after", bool, False),
-        "parallel_tries": lines.get("limits.parallel_tries", bool, False),
+        "may_message_peers": lines.get("limits.peers", bool, False),
+        "may_advise_retry_after": lines.get("limits.retry_after", bool, False),
+        "allows_parallel_attempts": lines.get("limits.parallel_tries", bool, False),
     }
 
 
 def _read_engine_traits(lines: SettingLines) -> dict[str, object]:
     return {
-        "memory_heeded": lines.get("specifics.memory_heeded", bool, False),
-        "ranks_heeded": lines.get("specifics.ranks_heeded", bool, False),
-        "tells_cost": lines.get("specifics.says_cost", bool, False),
+        "engines_honor_memory": lines.get("specifics.memory_heeded", bool, False),
+        "engines_honor_priority": lines.get("specifics.ranks_heeded", bool, False),
+        "engines_report_cost": lines.get("specifics.says_cost", bool, False),
         "progress": lines.get_seconds("specifics.progress", 0.0),
         "largest_share": lines.get("specifics.largest_share", float, 1.0),
-        "when_short": lines.get("specifics.when_short", str, "wait"),
+        "memory_shortage_mode": lines.get("specifics.when_short", str, "wait"),
     }
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -30,7 +30,8 @@
     "may_probe": True,
     "may_cancel": True,
     "report_columns": ("active",),
-    "report_how": "answers",
+    "report_how": "answers",  # the former name of the next one
+    "load_report_mode": "answers",
     "probe_price": 0.08,
 }
 
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -23,13 +23,13 @@
         kinds=KINDS,
         gateways=1,
         may_cancel=True,
-        retry_after=True,
+        may_advise_retry_after=True,
         max_retry_after=2.0,
-        ranks_heeded=True,
-        tells_cost=True,
+        engines_honor_priority=True,
+        engines_report_cost=True,
         largest_share=0.4,
         report_columns=("waiting", "cpu", "disk_busy", "memory_used"),
-        report_how="answers",
+        load_report_mode="answers",
     )
     return api.Settings(**(base | changes))
 
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -80,7 +80,7 @@
         elif isinstance(action, api.Probe):
             assert self.settings.may_probe
         elif isinstance(action, api.SendPeerMessage):
-            assert self.settings.may_tell_peers
+            assert self.settings.may_message_peers
         elif isinstance(action, (api.Reject, api.Fail)):
             self._check_answer(now, action)
             self.on_end(now, action.request_id)
@@ -115,7 +115,9 @@
         attempts = self.attempts[send.request_id]
         assert len(attempts) < self.settings.try_limit, "the request has too many attempts"
         is_alone = all(attempt.result for attempt in attempts)
-        assert self.settings.parallel_tries or is_alone, "two attempts of the request are in flight at once"
+        assert self.settings.allows_parallel_attempts or is_alone, (
+            "two attempts of the request are in flight at once"
+        )
         self._check_repetition(now, spec, entry, attempts)
         if spec.ordered and request.order_key:
             self._check_order(now, request)
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -199,7 +199,7 @@
     """A retry may have only a few milliseconds left. Its response must not wait for a busy controller."""
 
     async def main():
-        settings = api.Settings((api.ClassSpec("lookup"),), (api.KindSpec("k"),), retry_after=True)
+        settings = api.Settings((api.ClassSpec("lookup"),), (api.KindSpec("k"),), may_advise_retry_after=True)
         driver = EventLoopDriver(FakeController(), None, Counters())
         request = model.Request(b"1", 0, b"", driver.now(), 0.005)
         return await handler.RequestHandler(driver, None, settings, driver.counters).handle(request), driver
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -77,7 +77,7 @@
 
 def test_memory_is_granted_only_where_engines_honor_it():
     for is_honored in (True, False):
-        driver = PolicyDriver(memory_heeded=is_honored)
+        driver = PolicyDriver(engines_honor_memory=is_honored)
         driver.submit(1, memory=1000.0)
         (resources,) = driver.logged(api.SetResources)
         assert (resources.memory_mb > 0) is is_honored
--- a/tests/test_policy_probes.py
+++ b/tests/test_policy_probes.py
@@ -47,11 +47,14 @@
 
 
 @pytest.mark.parametrize(
-    "report_how, work, is_probed", [("probe", 9.0, True), ("probe", 0.1, False), ("answers", 9.0, False)]
+    "load_report_mode, work, is_probed",
+    [("probe", 9.0, True), ("probe", 0.1, False), ("answers", 9.0, False)],
 )
-def test_long_requests_need_a_probe_if_answers_carry_no_load_report(report_how, work, is_probed):
+def test_long_requests_need_a_probe_if_answers_carry_no_load_report(load_report_mode, work, is_probed):
     """Only a probe can show that other instances keep the preferred engine busy."""
-    driver = PolicyDriver(engines=4, gateways=100, may_probe=True, probe_price=0.08, report_how=report_how)
+    driver = PolicyDriver(
+        engines=4, gateways=100, may_probe=True, probe_price=0.08, load_report_mode=load_report_mode
+    )
     driver.submit(work=0.01)
     _, actions = driver.submit(1, work=work)
     assert bool(actions_of(api.Probe, actions)) is is_probed
--- a/tests/test_policy_wait_queue.py
+++ b/tests/test_policy_wait_queue.py
@@ -98,8 +98,8 @@
 def test_a_request_of_unknown_order_is_rejected_and_others_wait_for_its_answer():
     driver = PolicyDriver(classes=(ORDERED,), order_gap=0.02)
     actions = driver.handle(
-        api.Request(901, 0, order_key=7, timeout=4.0, work=0.2, order_unknown=False),
-        api.Request(902, 0, order_key=7, timeout=4.0, work=0.2, order_unknown=True),
+        api.Request(901, 0, order_key=7, timeout=4.0, work=0.2, is_order_unknown=False),
+        api.Request(902, 0, order_key=7, timeout=4.0, work=0.2, is_order_unknown=True),
     )
     assert [type(action) for action in actions] == [api.Reject]
     assert actions[0].request_id == 902
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -30,17 +30,29 @@
 )
 SETTINGS = (
     dict(),
-    dict(may_cancel=False, try_limit=3, when_short="wait", report_columns=("cpu",), report_how="probe"),
-    dict(budget_share=0.1, budget_free=3.0, parallel_tries=True, progress=0.5, order_pause=0.3),
+    dict(
+        may_cancel=False,
+        try_limit=3,
+        memory_shortage_mode="wait",
+        report_columns=("cpu",),
+        load_report_mode="probe",
+    ),
+    dict(budget_share=0.1, budget_free=3.0, allows_parallel_attempts=True, progress=0.5, order_pause=0.3),
     dict(
         gateways=3,
         discovery_push=False,
-        ranks_heeded=False,
-        retry_after=False,
+        engines_honor_priority=False,
+        may_advise_retry_after=False,
         report_columns=(),
-        report_how="none",
+        load_report_mode="none",
+    ),
+    dict(
+        gateways=300,
+        may_probe=True,
+        report_columns=("active",),
+        load_report_mode="probe",
+        may_message_peers=True,
     ),
-    dict(gateways=300, may_probe=True, report_columns=("active",), report_how="probe", may_tell_peers=True),
     dict(gateways=60, may_probe=True, may_cancel=False, budget_share=0.0, budget_free=2.0),
 )
 
