--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -12,7 +12,7 @@
     request_id: int
     engine_id: int
     timeout: float = 0.0  # 0 means as long as the client waits
-    announce: bool = False  # whether to tell peers, since the engine looks less loaded than most
+    announce_to_peers: bool = False  # whether to tell peers, since the engine looks less loaded than most
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
     """Cancel an attempt; its outcome is reported all the same."""
 
     request_id: int
-    attempt: int
+    attempt_index: int
 
 
 @dataclass(frozen=True)
@@ -58,7 +58,7 @@
 class SetTimer:
     """Submit a `TimerFired` event with this token after a delay."""
 
-    after: float
+    delay: float
     token: int
 
 
@@ -85,7 +85,7 @@
 class SendPeerMessage:
     """Send a message to another instance."""
 
-    peer: int | None  # None means all instances
+    recipient_id: int | None  # None means all instances
     body: bytes
 
 
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -50,8 +50,8 @@
     """The engine list, a change of it, or a failure to get it."""
 
     entries: tuple[EngineEntry, ...] = ()
-    whole: bool = False  # whether the entries replace the old list, or are changed ones only
-    failed: bool = False  # whether a call failed or the subscription ended; then there are no entries
+    is_full: bool = False  # whether the entries replace the old list, or are changed ones only
+    has_failed: bool = False  # whether a call failed or the subscription ended; then there are no entries
 
 
 @dataclass(frozen=True)
@@ -60,12 +60,12 @@
 
     request_id: int
     class_index: int  # index of the class in the settings
-    tenant: int = 0  # index of the tenant in the settings
+    tenant_index: int = 0  # index of the tenant in the settings
     order_key: int = 0  # 0 means none
     timeout: float = 0.0  # time until the client gives up
-    work: float = 0.0  # estimated time on one core; 0 means no estimate
-    memory_mb: float = 0.0  # estimated memory; 0 means no estimate
-    tables: float = 0.0  # number of the table group that the request uses
+    estimated_work: float = 0.0  # time on one core; 0 means no estimate
+    estimated_memory_mb: float = 0.0  # 0 means no estimate
+    table_group: float = 0.0  # number of the table group that the request uses
     is_client_retry: bool = False  # whether the client says that it sends the request again
     is_order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
 
@@ -79,7 +79,7 @@
 
     request_id: int
     order_key: int
-    delivery_time: float  # time from now until the client has the answer in any case
+    delivery_seconds: float  # time from now until the client has the answer in any case
 
 
 @dataclass(frozen=True)
@@ -87,13 +87,13 @@
     """An attempt has ended."""
 
     request_id: int
-    attempt: int
+    attempt_index: int
     engine_id: int
     result: Result
     duration: float = 0.0
     is_final: bool = False  # whether it ends the request
-    work: float = 0.0  # time on one core that was used; 0 if unknown
-    memory_mb: float = 0.0  # memory that was used; 0 if unknown
+    used_work: float = 0.0  # time on one core; 0 if unknown
+    used_memory_mb: float = 0.0  # 0 if unknown
     load_report: tuple[float, ...] = ()  # in the order of `Settings.report_columns`
 
 
@@ -102,7 +102,7 @@
     """An attempt streams rows to the client, so that no other attempt can answer the request."""
 
     request_id: int
-    attempt: int
+    attempt_index: int
     engine_id: int
 
 
@@ -119,7 +119,7 @@
     """A status report on an attempt in flight."""
 
     request_id: int
-    attempt: int
+    attempt_index: int
     engine_id: int
     kind: AttemptUpdateKind
     value: float = 0.0  # as described at `AttemptUpdateKind`
@@ -153,7 +153,7 @@
 class PeerMessage:
     """A message from another instance."""
 
-    sender: int
+    sender_id: int
     body: bytes = b""
 
 
@@ -170,7 +170,7 @@
 
     engine_id: int
     load_report: tuple[float, ...] = ()  # as in an outcome
-    threads: int = 0  # threads of the attempts that it has just sent there
+    sent_threads: int = 0  # threads of the attempts that it has just sent there
 
 
 Event = (
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -35,9 +35,9 @@
     worth: float = 1.0  # value of an answer in time
     late_share: float = 0.0  # share of the value that an answer after the target latency earns
     repeat: RepeatPolicy = RepeatPolicy.SAFE
-    group: str = "all"  # engines that recognize a repetition (KEYED only), one of REPEAT_GROUPS
+    repeat_group: str = "all"  # engines that recognize a repetition (KEYED only), one of REPEAT_GROUPS
     repeat_window: float = 0.0  # time for which engines recognize a repetition (KEYED only)
-    ordered: bool = False  # whether requests of one order key are executed in the order of arrival
+    is_ordered: bool = False  # whether requests of one order key are executed in the order of arrival
     zones: frozenset[int] | None = None  # zones that are allowed; None means all
     kinds: frozenset[int] | None = None  # machine kinds that are allowed; None means all
     stream: bool = False
@@ -133,8 +133,8 @@
     _check_numbers(spec, f"{place}.")
     if spec.aim <= 0 or spec.deadline <= 0 or spec.threads < 1:
         raise SettingsError(f"{place}: aim, deadline and threads must be above 0")
-    if spec.group not in REPEAT_GROUPS:
-        raise SettingsError(f"{place}.group: must be all, zone or cell, not {spec.group!r}")
+    if spec.repeat_group not in REPEAT_GROUPS:
+        raise SettingsError(f"{place}.group: must be all, zone or cell, not {spec.repeat_group!r}")
 
 
 def _check_numbers(holder: object, prefix: str) -> None:
--- a/applevale/discovery/gated_endpoints.py
+++ b/applevale/discovery/gated_endpoints.py
@@ -50,14 +50,14 @@
     def set_confirmed(self, confirmed: bool) -> api.EngineList:
         """Mark the list as confirmed or stale, and return the whole list."""
         self.is_stale = not confirmed
-        return api.EngineList(tuple(map(self._presented, self.entries.values())), whole=True)
+        return api.EngineList(tuple(map(self._presented, self.entries.values())), is_full=True)
 
     def present(self, engine: int) -> api.EngineList:
         """Return an update with the presented state of one engine; empty if the engine is not listed."""
         entry = self.entries.get(engine)
         if entry is None:
-            return api.EngineList((), whole=False)
-        return api.EngineList((self._presented(entry),), whole=False)
+            return api.EngineList((), is_full=False)
+        return api.EngineList((self._presented(entry),), is_full=False)
 
     def has_usable_engine(self) -> bool:
         """Return whether any engine could get new requests if the list were confirmed."""
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -190,7 +190,7 @@
                     handler(action)
             case api.SetTimer():
                 loop = asyncio.get_running_loop()
-                loop.call_later(action.after, self.submit, api.TimerFired(action.token))
+                loop.call_later(action.delay, self.submit, api.TimerFired(action.token))
             case api.Probe():
                 self.prober.probe(action.engine_id)
             case api.Log():
--- a/applevale/dispatch/event_queue.py
+++ b/applevale/dispatch/event_queue.py
@@ -11,15 +11,15 @@
     This saves time, since the controller iterates over all engines for each update.
     """
     entries: dict[int, api.EngineEntry] = {}
-    whole = False
+    is_full = False
     for event in events:
         if isinstance(event, api.EngineList):
-            if event.whole:
-                whole = True
+            if event.is_full:
+                is_full = True
                 entries.clear()
             entries.update((entry.engine_id, entry) for entry in event.entries)
     others = [event for event in events if not isinstance(event, api.EngineList)]
-    return [api.EngineList(tuple(entries.values()), whole), *others]
+    return [api.EngineList(tuple(entries.values()), is_full), *others]
 
 
 class EventQueue:
@@ -45,7 +45,9 @@
         earlier = self._load_reports.get(report.engine_id, report)
         if earlier is not report:
             report = api.PeerLoadReport(
-                report.engine_id, report.load_report or earlier.load_report, report.threads + earlier.threads
+                report.engine_id,
+                report.load_report or earlier.load_report,
+                report.sent_threads + earlier.sent_threads,
             )
         self._load_reports[report.engine_id] = report
 
--- a/applevale/policy/admission.py
+++ b/applevale/policy/admission.py
@@ -33,7 +33,7 @@
     def similarity_key(self, pending: PendingRequest) -> tuple[int, float, int]:
         """Return what similar requests share: class, table group and magnitude of the memory."""
         memory_magnitude = int(log(max(pending.memory_mb, 1.0), config.MEMORY_LOG_BASE))
-        return (pending.request.class_index, pending.request.tables, memory_magnitude)
+        return (pending.request.class_index, pending.request.table_group, memory_magnitude)
 
     def assess_memory_risk(self, pending: PendingRequest, engines: list[Engine]) -> None:
         """Mark a request that may exhaust the memory of the first available one of `engines`."""
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -31,12 +31,12 @@
         """Add a new request."""
         self.pending[pending.request.request_id] = pending
         self._retry_budget.record_ordinary(self._context.now)
-        if pending.spec.ordered and pending.request.order_key:
+        if pending.spec.is_ordered and pending.request.order_key:
             self.key_queues.append(pending.request.order_key, pending)
 
     def has_turn(self, pending: PendingRequest) -> bool:
         """Return whether a request need not wait for an earlier one with its order key."""
-        has_order = pending.spec.ordered and pending.request.order_key
+        has_order = pending.spec.is_ordered and pending.request.order_key
         return not has_order or self.key_queues.has_turn(
             pending.request.order_key, pending, self._context.now
         )
@@ -60,9 +60,9 @@
         entry = engine.entry
         if entry.state is not api.EngineState.READY or not pending.allows(entry):
             return False
-        has_repeat_group = spec.repeat is api.RepeatPolicy.KEYED and spec.group != "all"
+        has_repeat_group = spec.repeat is api.RepeatPolicy.KEYED and spec.repeat_group != "all"
         first = pending.first_executed() if has_repeat_group else None
-        if first is not None and getattr(first.entry, spec.group) != getattr(entry, spec.group):
+        if first is not None and getattr(first.entry, spec.repeat_group) != getattr(entry, spec.repeat_group):
             return False
         now = self._context.now
         is_zone_open = self._context.zone_router.may_take(
@@ -110,7 +110,7 @@
     def _attempt_in_flight(self, event: api.AttemptOutcome | api.AttemptUpdate) -> Attempt | None:
         attempts = self.pending[event.request_id].attempts if event.request_id in self.pending else ()
         in_flight = (attempt for attempt in attempts if not attempt.result)
-        return next((attempt for attempt in in_flight if attempt.index == event.attempt), None)
+        return next((attempt for attempt in in_flight if attempt.index == event.attempt_index), None)
 
     def on_outcome(self, event: api.AttemptOutcome) -> PendingRequest | None:
         """Handle the end of an attempt; return its request if it needs another attempt."""
@@ -142,7 +142,7 @@
         engine = context.engines.get(attempt.entry.engine_id)
         if engine and engine.attempts.remove(attempt, pending.spec.threads, attempt.granted_mb):
             self._learn(engine, attempt, event)
-        if pending.spec.ordered and event.result in api.POSSIBLY_RUNNING:
+        if pending.spec.is_ordered and event.result in api.POSSIBLY_RUNNING:
             self.key_queues.pause(pending.request.order_key, context.now + context.settings.order_pause)
 
     def _learn(self, engine: Engine, attempt: Attempt, event: api.AttemptOutcome) -> None:
@@ -176,8 +176,8 @@
 
     def on_response_sent(self, event: api.ResponseSent) -> None:
         """Let the next request of an order key start once this answer is delivered."""
-        self.key_queues.pause(event.order_key, self._context.now + event.delivery_time)
-        self._delivery_time = event.delivery_time
+        self.key_queues.pause(event.order_key, self._context.now + event.delivery_seconds)
+        self._delivery_time = event.delivery_seconds
         if pending := self.pending.get(event.request_id):  # one of its attempts is in flight
             pending.is_answered = True
         else:
@@ -216,7 +216,7 @@
             return
         engine = self._context.engines.get(attempt.entry.engine_id)
         self._cancel_to_retry(attempt)
-        is_blocking = pending.spec.ordered and self.key_queues.length(pending.request.order_key) > 1
+        is_blocking = pending.spec.is_ordered and self.key_queues.length(pending.request.order_key) > 1
         if is_blocking and now > pending.target_at:
             self.reject_or_fail(pending)  # its answer may never come, and others of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
@@ -243,7 +243,7 @@
         random = self._context.random
         spec = pending.spec
         action: api.Action = api.Fail(pending.request.request_id)
-        drops_repeats = spec.repeat is api.RepeatPolicy.KEYED and spec.group == "all"
+        drops_repeats = spec.repeat is api.RepeatPolicy.KEYED and spec.repeat_group == "all"
         if drops_repeats or spec.repeat is api.RepeatPolicy.SAFE or not pending.first_executed():
             # A random delay spreads the retries of clients that are rejected together.
             delay = random.uniform(config.MIN_RETRY_AFTER_SECONDS, config.MAX_RETRY_AFTER_SECONDS)
@@ -267,7 +267,7 @@
         self.pending.pop(request.request_id, None)
         pending.attempts.clear()  # breaks a reference cycle, which only the garbage collector would free
         gap = self._context.settings.order_gap
-        if pending.spec.ordered and request.order_key and gap:
+        if pending.spec.is_ordered and request.order_key and gap:
             # The next request of its key waits until this answer is delivered, which it could overtake.
             blocker = None if pending.is_answered else request.request_id
             self.key_queues.pause(request.order_key, self._context.now + gap, blocker)
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -86,14 +86,14 @@
 
     def _on_engine_list(self, event: api.EngineList) -> None:
         context = self.context
-        if event.failed:  # the list service may be overloaded, so retries back off
+        if event.has_failed:  # the list service may be overloaded, so retries back off
             jitter = config.MIN_SUBSCRIBE_JITTER + context.random.random()
             delay = self._subscribe_backoff.advance() * jitter
             context.actions.append(api.SetTimer(delay, config.SUBSCRIBE_TIMER_TOKEN))
             return
         self._subscribe_backoff.reset()
         entries = {entry.engine_id: entry for entry in event.entries}
-        if event.whole:
+        if event.is_full:
             missing = [engine.entry for engine_id, engine in self.engines.items() if engine_id not in entries]
             entries |= {entry.engine_id: replace(entry, state=api.EngineState.GONE) for entry in missing}
         for entry in entries.values():
@@ -120,7 +120,7 @@
         is_known = request.request_id in self.attempts.pending
         if is_known or not 0 <= request.class_index < len(self.context.classes):
             return
-        pending = PendingRequest(request, self.context, self.admission.value_factor(request.tenant))
+        pending = PendingRequest(request, self.context, self.admission.value_factor(request.tenant_index))
         self.attempts.register(pending)
         self.outliers.add_probe_budget()
         if request.is_order_unknown:  # its execution could break the order of its key
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -73,8 +73,8 @@
     def on_peer_report(self, event: api.PeerLoadReport) -> None:
         """Add what a peer has sent to an engine, and the load report that the peer got from there."""
         if engine := self._context.engines.get(event.engine_id):
-            engine.peer_sends.add(self._context.now, event.threads / engine.cores)
-            self._fleet_peer_sends.add(self._context.now, event.threads)
+            engine.peer_sends.add(self._context.now, event.sent_threads / engine.cores)
+            self._fleet_peer_sends.add(self._context.now, event.sent_threads)
             if event.load_report:
                 self.apply_report(engine, event.load_report)
 
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -44,9 +44,9 @@
         self.is_memory_risk = False  # it may exhaust the memory of its engine
         self.waits_for_memory = False  # it needs an engine with enough free memory
         self.features: tuple[float, ...] = ()  # for the prediction of memory pressure; empty without one
-        announced_work = estimators.finite_or(request.work, 0.0)
+        announced_work = estimators.finite_or(request.estimated_work, 0.0)
         self.work = max(self.stats.work.expect(announced_work), config.MIN_WORK_SECONDS)
-        announced_mb = estimators.finite_or(max(request.memory_mb, 0.0), 0.0)
+        announced_mb = estimators.finite_or(max(request.estimated_memory_mb, 0.0), 0.0)
         self.memory_mb = self.stats.memory.expect(announced_mb)
         if announced_mb and not context.settings.engines_honor_memory:
             self.grant_mb = announced_mb * config.ANNOUNCED_MEMORY_MARGIN
@@ -108,12 +108,12 @@
         """Learn from a completed attempt; return whether it met memory pressure."""
         pending = attempt.pending
         usual_slowdown = self.run_time.slowdown.value
-        used_work = event.work if event.work > 0 else pending.work
+        used_work = event.used_work if event.used_work > 0 else pending.work
         free_run_time = used_work / self.spec.threads
         slowdown = self.run_time.learn(pending.expected_run_time(), free_run_time, run_time)
-        self.work.learn(pending.request.work, event.work)
-        self.memory.learn(pending.request.memory_mb, event.memory_mb)
-        has_spilled = event.memory_mb > attempt.granted_mb > 0
+        self.work.learn(pending.request.estimated_work, event.used_work)
+        self.memory.learn(pending.request.estimated_memory_mb, event.used_memory_mb)
+        has_spilled = event.used_memory_mb > attempt.granted_mb > 0
         limit = config.SPILL_PRESSURE_SLOWDOWN if has_spilled else config.MEMORY_PRESSURE_SLOWDOWN
         met_pressure = attempt.met_memory_pressure or slowdown > usual_slowdown * limit
         self.memory_pressure_share.add(float(met_pressure))
@@ -152,7 +152,7 @@
     def runs_table_load(self, table_group: float) -> bool:
         """Return whether an own attempt on it loads a table group, which blocks the readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
-        return any(pending.spec.load and pending.request.tables == table_group for pending in requests)
+        return any(pending.spec.load and pending.request.table_group == table_group for pending in requests)
 
     def is_available(self) -> bool:
         """Return whether it may get an attempt; on probation it gets one at a time."""
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -45,7 +45,7 @@
 
     def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
         """Return the engines that a request may run on, in its order of preference."""
-        table_group = int(pending.request.tables * config.TABLE_GROUP_SCALE)
+        table_group = int(pending.request.table_group * config.TABLE_GROUP_SCALE)
         key = (table_group, pending.request.class_index)
         order = self.engine_orders.get(key)
         return self.engine_orders.put(key, self._order(pending, table_group)) if order is None else order
@@ -112,7 +112,7 @@
         if pending.waits_for_memory and self._load.free_memory(engine) < needed_mb:
             return True
         needs_tables = pending.spec.load or pending.spec.yields
-        return needs_tables and engine.runs_table_load(pending.request.tables)
+        return needs_tables and engine.runs_table_load(pending.request.table_group)
 
     def _select(self, candidates: list[Candidate]) -> Route:
         if not candidates:
@@ -175,7 +175,7 @@
     def _find_route_once(self, pending: PendingRequest, smallest_unroutable: dict) -> Route:
         """Return a route, without a search where a similar, smaller request found none in this pass."""
         is_comparable = not pending.attempts and not pending.waits_for_memory
-        key = (pending.request.class_index, pending.request.tables, pending.priority)
+        key = (pending.request.class_index, pending.request.table_group, pending.priority)
         if is_comparable and pending.work >= smallest_unroutable.get(key, inf):
             return Route()  # engines only fill up during a pass
         route = self.find_route(pending)
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -201,7 +201,7 @@
             # connection.
             self.used_connections.add(attempt.connection)
         if not attempt.is_finished:
-            if send.announce:
+            if send.announce_to_peers:
                 self._environment.on_dispatch(send.engine_id, self._spec.threads)
             self.in_flight = attempt
             record.timeout_timer = loop.call_later(max(0.0, timeout), attempt.cancel, api.Result.TIMEOUT)
--- a/applevale/server/request_parser.py
+++ b/applevale/server/request_parser.py
@@ -80,7 +80,7 @@
         timeout=_parse_number(fields, "allow", spec.deadline * MAX_TIMEOUT_FACTOR * 1000) / 1000,
         estimated_work=_parse_number(fields, "effort", MAX_ESTIMATED_WORK_MS, 0.0) / 1000,
         estimated_memory_mb=_parse_number(fields, "space", MAX_ESTIMATED_MEMORY_MB, 0.0),
-        order_key=_parse_order_key(fields) if spec.ordered else 0,
+        order_key=_parse_order_key(fields) if spec.is_ordered else 0,
         statement=_parse_statement(statement),
         tenant_index=_parse_tenant(fields, schema),
         table_group=table_group(statement),
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -122,10 +122,10 @@
     def _decode_list_change(self, fields: memoryview) -> api.EngineList:
         kind, _revision, page = LIST_CHANGE.unpack_from(fields)
         if kind == LIST_CALL_FAILED:
-            return api.EngineList(failed=True)
+            return api.EngineList(has_failed=True)
         if page not in self.pages:
             raise WireError(f"list page {page} was not sent before")
-        return api.EngineList(self.pages[page], whole=kind in WHOLE_LIST_KINDS)
+        return api.EngineList(self.pages[page], is_full=kind in WHOLE_LIST_KINDS)
 
 
 def _read_record(view: memoryview, position: int, index: int) -> tuple[int, memoryview]:
@@ -191,53 +191,53 @@
     (
         request_id,
         class_index,
-        tenant,
+        tenant_index,
         order_key,
         timeout_ns,
         work_ns,
         memory_mb,
-        tables,
+        table_group,
         options,
     ) = REQUEST.unpack_from(fields)
     return api.Request(
         request_id=request_id,
         class_index=class_index,
-        tenant=tenant,
+        tenant_index=tenant_index,
         order_key=order_key,
         timeout=timeout_ns / NANOSECONDS_PER_SECOND,
-        work=work_ns / NANOSECONDS_PER_SECOND if options & HAS_WORK_ESTIMATE else 0.0,
-        memory_mb=_non_negative(memory_mb),
-        tables=tables if isfinite(tables) else 0.0,
+        estimated_work=work_ns / NANOSECONDS_PER_SECOND if options & HAS_WORK_ESTIMATE else 0.0,
+        estimated_memory_mb=_non_negative(memory_mb),
+        table_group=table_group if isfinite(table_group) else 0.0,
         is_client_retry=bool(options & IS_CLIENT_RETRY),
     )
 
 
 def _decode_outcome(fields: memoryview) -> api.AttemptOutcome:
-    request_id, attempt, engine_id, status, duration_ns, is_final, note = OUTCOME.unpack_from(fields)
+    request_id, attempt_index, engine_id, status, duration_ns, is_final, note = OUTCOME.unpack_from(fields)
     return api.AttemptOutcome(
         request_id=request_id,
-        attempt=attempt,
+        attempt_index=attempt_index,
         engine_id=engine_id,
         result=RESULTS.get(status, api.Result.ERROR),
         duration=duration_ns / NANOSECONDS_PER_SECOND,
         is_final=bool(is_final),
-        work=(note >> WORK_SHIFT) / MS_PER_SECOND,
-        memory_mb=(note & MEMORY_MASK) * MEMORY_UNIT_MB,
+        used_work=(note >> WORK_SHIFT) / MS_PER_SECOND,
+        used_memory_mb=(note & MEMORY_MASK) * MEMORY_UNIT_MB,
         load_report=_decode_report(fields, OUTCOME.size),
     )
 
 
 def _decode_started(fields: memoryview) -> api.StreamStarted:
-    request_id, attempt, engine_id = STARTED.unpack_from(fields)
-    return api.StreamStarted(request_id, attempt, engine_id)
+    request_id, attempt_index, engine_id = STARTED.unpack_from(fields)
+    return api.StreamStarted(request_id, attempt_index, engine_id)
 
 
 def _decode_note(fields: memoryview) -> api.AttemptUpdate | None:
-    request_id, engine_id, kind, value, attempt = NOTE.unpack_from(fields)
+    request_id, engine_id, kind, value, attempt_index = NOTE.unpack_from(fields)
     if kind not in NOTE_KINDS:
         return None
     return api.AttemptUpdate(
-        request_id, attempt, engine_id, api.AttemptUpdateKind(kind), _non_negative(value)
+        request_id, attempt_index, engine_id, api.AttemptUpdateKind(kind), _non_negative(value)
     )
 
 
@@ -260,8 +260,8 @@
 
 
 def _decode_peer_message(fields: memoryview) -> api.PeerMessage:
-    (sender,) = PEER_ID.unpack_from(fields)
-    return api.PeerMessage(sender, _decode_bytes(fields, PEER_ID.size, PEER_MESSAGE_SIZE))
+    (sender_id,) = PEER_ID.unpack_from(fields)
+    return api.PeerMessage(sender_id, _decode_bytes(fields, PEER_ID.size, PEER_MESSAGE_SIZE))
 
 
 _DECODERS: dict[int, Callable[[memoryview], InstanceEvent | None]] = {
--- a/applevale/simulator_wire/encoder.py
+++ b/applevale/simulator_wire/encoder.py
@@ -71,7 +71,7 @@
 
 
 def _encode_cancel(action: api.Cancel) -> bytes:
-    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request_id, action.attempt))
+    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request_id, action.attempt_index))
 
 
 def _encode_probe(action: api.Probe) -> bytes:
@@ -79,7 +79,7 @@
 
 
 def _encode_set_timer(action: api.SetTimer) -> bytes:
-    return _encode_record(ActionCode.SET_TIMER, SET_TIMER.pack(_to_ns(action.after), action.token))
+    return _encode_record(ActionCode.SET_TIMER, SET_TIMER.pack(_to_ns(action.delay), action.token))
 
 
 def _encode_log(action: api.Log) -> bytes:
@@ -96,8 +96,8 @@
 
 def _encode_peer_message(action: api.SendPeerMessage) -> bytes:
     body = action.body[:MAX_PEER_MESSAGE_BYTES]
-    receiver = ALL_PEERS if action.peer is None else action.peer
-    return _encode_record(ActionCode.PEER_MESSAGE, PEER_MESSAGE_HEAD.pack(receiver, len(body)) + body)
+    recipient_id = ALL_PEERS if action.recipient_id is None else action.recipient_id
+    return _encode_record(ActionCode.PEER_MESSAGE, PEER_MESSAGE_HEAD.pack(recipient_id, len(body)) + body)
 
 
 _ENCODERS: dict[type, Callable[[Any], bytes]] = {
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -59,7 +59,7 @@
         self.controller = AdmissionController(settings, 1)
         self.now = START_SECONDS
         engines = tuple(api.EngineEntry(number) for number in range(engine_count))
-        self.controller.handle(self.now, [api.EngineList(engines, whole=True)])
+        self.controller.handle(self.now, [api.EngineList(engines, True)])
 
     def time_requests(self) -> float:
         """Return the microseconds of a request with its outcome."""
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -56,14 +56,14 @@
         self.log = []
         self.ids = iter(range(1, MAX_REQUEST_ID))
         entries = entries or tuple(api.EngineEntry(engine) for engine in range(1, engines + 1))
-        self.handle(api.EngineList(entries, whole=True))
+        self.handle(api.EngineList(entries, is_full=True))
 
     def handle(self, *events) -> list:
         """Handle a batch of events; return the actions except `SetTimer` and `SetResources`."""
         actions = self.controller.handle(self.now, events)
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.after, action.token))
+                self.timers.append((self.now + action.delay, action.token))
             self.log.append((self.now, action))
         return [action for action in actions if not isinstance(action, (api.SetTimer, api.SetResources))]
 
@@ -81,7 +81,14 @@
         """
         request_id = next(self.ids)
         timeout = timeout or self.settings.classes[class_index].deadline
-        request = api.Request(request_id, class_index, timeout=timeout, work=work, memory_mb=memory, **fields)
+        request = api.Request(
+            request_id,
+            class_index,
+            timeout=timeout,
+            estimated_work=work,
+            estimated_memory_mb=memory,
+            **fields,
+        )
         return request_id, self.handle(request)
 
     def send_request(self, *arguments, **fields) -> api.Send:
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -55,14 +55,14 @@
         self.requests[request.request_id] = (now, request)
         self.attempts[request.request_id] = []
         self.arrivals.append(now)
-        if self.settings.classes[request.class_index].ordered and request.order_key:
+        if self.settings.classes[request.class_index].is_ordered and request.order_key:
             self.ordered_requests.append(request)
 
     def on_outcome(self, now, outcome):
         """Record the end of an attempt."""
-        self.attempts[outcome.request_id][outcome.attempt].result = outcome.result
+        self.attempts[outcome.request_id][outcome.attempt_index].result = outcome.result
         _, request = self.requests[outcome.request_id]
-        if self.settings.classes[request.class_index].ordered and outcome.result in POSSIBLY_RUNNING:
+        if self.settings.classes[request.class_index].is_ordered and outcome.result in POSSIBLY_RUNNING:
             self.paused_until[request.order_key] = now + self.settings.order_pause
         if outcome.is_final:
             self.on_end(now, outcome.request_id)
@@ -76,7 +76,7 @@
         """Check an action and record it."""
         if isinstance(action, api.Cancel):
             assert self.settings.may_cancel
-            assert action.attempt < len(self.attempts[action.request_id])
+            assert action.attempt_index < len(self.attempts[action.request_id])
         elif isinstance(action, api.Probe):
             assert self.settings.may_probe
         elif isinstance(action, api.SendPeerMessage):
@@ -96,7 +96,7 @@
         assert now <= due or is_after_stall, "the final answer is too late"
         spec = self.settings.classes[request.class_index]
         is_repeatable = spec.repeat is api.RepeatPolicy.SAFE
-        is_repeatable |= spec.repeat is not api.RepeatPolicy.UNSAFE and spec.group == "all"
+        is_repeatable |= spec.repeat is not api.RepeatPolicy.UNSAFE and spec.repeat_group == "all"
         if isinstance(action, api.Reject) and not is_repeatable:
             results = [attempt.result for attempt in self.attempts[action.request_id]]
             assert all(result in NEVER_EXECUTED for result in results), (
@@ -119,7 +119,7 @@
             "two attempts of the request are in flight at once"
         )
         self._check_repetition(now, spec, entry, attempts)
-        if spec.ordered and request.order_key:
+        if spec.is_ordered and request.order_key:
             self._check_order(now, request)
         if attempts:
             self._check_retry_budget(now)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -24,13 +24,15 @@
     number = 0
     now = 100.0
     for controller in fleet:
-        controller.handle(now, (api.EngineList((entry,), whole=True),))
+        controller.handle(now, (api.EngineList((entry,), is_full=True),))
     while now < 110.0:
         for controller in fleet:
             requests = []
             for _ in range(max(1, 40 // count)):
                 number += 1
-                requests.append(api.Request(number, 0, timeout=4.0, work=WORK, memory_mb=10.0))
+                requests.append(
+                    api.Request(number, 0, timeout=4.0, estimated_work=WORK, estimated_memory_mb=10.0)
+                )
             for action in controller.handle(now, tuple(requests)):
                 if isinstance(action, api.Send):
                     sent.append(now)
@@ -53,7 +55,7 @@
         settings = make_settings(gateways=size)
         fleet = [AdmissionController(settings, seed) for seed in range(size)]
         for controller in fleet:
-            controller.handle(100.0, (api.EngineList((api.EngineEntry(1, started_at=100.0),), whole=True),))
+            controller.handle(100.0, (api.EngineList((api.EngineEntry(1, started_at=100.0),), is_full=True),))
         engines = [controller.engines[1] for controller in fleet]
         for engine in engines:
             engine.cold_budget.level = -1e9
--- a/tests/test_event_loop_driver.py
+++ b/tests/test_event_loop_driver.py
@@ -55,13 +55,13 @@
 
     async def steps(driver):
         driver.submit(api.EngineList((api.EngineEntry(9),)))
-        driver.submit(api.EngineList((ready,), whole=True))
+        driver.submit(api.EngineList((ready,), is_full=True))
         driver.submit(api.TimerFired(3))
         driver.submit(api.EngineList((draining, other)))
         await wait_until(lambda: controller.batches)
 
     run_driver(controller, steps)
-    assert controller.batches == [[api.EngineList((draining, other), whole=True), api.TimerFired(3)]]
+    assert controller.batches == [[api.EngineList((draining, other), is_full=True), api.TimerFired(3)]]
 
 
 def test_an_engine_is_reported_as_outlier_until_its_ejection_ends():
@@ -69,7 +69,7 @@
     controller = AdmissionController(make_settings(), 1)
     entries = tuple(api.EngineEntry(number) for number in range(1, 5))
     failed = api.ProbeResult(3, api.Result.CONNECT_FAILED)
-    controller.handle(now[0], (api.EngineList(entries, whole=True), failed))
+    controller.handle(now[0], (api.EngineList(entries, is_full=True), failed))
     driver = EventLoopDriver(controller, None, Counters(), UnixClock(lambda: now[0]))
     assert driver.outlier_engines() == {3}
     now[0] += 30.0
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -114,7 +114,9 @@
     for _ in range(dispatch_count):
         if sender.record_dispatch(1, 2):
             sender.budget = MAX_BUDGET_BYTES
-            received_threads += sum(event.threads for event in receiver.receive(0.0, sender.next_datagram()))
+            received_threads += sum(
+                event.sent_threads for event in receiver.receive(0.0, sender.next_datagram())
+            )
     assert 0.1 < sender.dispatch_share < 0.5
     assert received_threads == pytest.approx(2 * dispatch_count, rel=0.1)
 
@@ -151,7 +153,7 @@
     except LoadReportError:
         assert not reports.latest_reports
         return
-    assert all(event.engine_id in (1, 2) and 0 <= event.threads <= 255 for event in events)
+    assert all(event.engine_id in (1, 2) and 0 <= event.sent_threads <= 255 for event in events)
     assert all(
         0 <= event.load_report[0] <= 254 or event.load_report[0] == -1
         for event in events
@@ -200,21 +202,24 @@
     for seed in range(40):
         entry = api.EngineEntry(1, started_at=97.0)  # It started 3 s before it is listed.
         driver = policy_driver(entries=(entry,), seed=seed)
-        send_count += len(actions_of(api.Send, driver.submit(0, work=0.3, tables=1.0)[1]))
+        send_count += len(actions_of(api.Send, driver.submit(0, work=0.3, table_group=1.0)[1]))
     assert send_count == 0
 
 
 def test_only_sends_to_an_engine_that_peers_would_choose_too_are_announced():
     driver = policy_driver()
     driver.handle(*(api.PeerLoadReport(number, (4.0,)) for number in (1, 2, 3, 4)))
-    assert not driver.send_request(0, work=0.1, tables=1.0).announce  # All engines have capacity left.
+    send = driver.send_request(0, work=0.1, table_group=1.0)
+    assert not send.announce_to_peers  # All engines have capacity left.
     for _ in range(40):
         driver.now += 0.1
         driver.handle(
             api.PeerLoadReport(1, (2.0,)), *(api.PeerLoadReport(number, (24.0,)) for number in (2, 3, 4))
         )
-    sends = [actions_of(api.Send, driver.submit(0, work=0.1, tables=float(group))[1]) for group in range(12)]
-    assert {send.engine_id: send.announce for actions in sends for send in actions}[1]
+    sends = [
+        actions_of(api.Send, driver.submit(0, work=0.1, table_group=float(group))[1]) for group in range(12)
+    ]
+    assert {send.engine_id: send.announce_to_peers for actions in sends for send in actions}[1]
 
 
 def test_dispatches_spread_evenly_do_not_raise_the_estimated_load_of_any_engine():
@@ -233,7 +238,7 @@
     assert driver.controller.load.engine_load(driver.controller.engines[1]) <= 9.1
     for engine in driver.controller.engines.values():
         assert not engine.health.on_probation and not engine.health.is_open(driver.now)
-    assert actions_of(api.Send, driver.submit(1, work=1.0, tables=1.0)[1])
+    assert actions_of(api.Send, driver.submit(1, work=1.0, table_group=1.0)[1])
 
 
 def test_instances_with_the_same_reports_do_not_all_choose_the_same_engine():
@@ -241,7 +246,7 @@
     for seed in range(12):
         driver = policy_driver(engines=6, seed=seed)
         driver.handle(*(api.PeerLoadReport(number, (8.0 + number / 4,)) for number in range(1, 7)))
-        chosen_engines.add(actions_of(api.Send, driver.submit(0, work=0.1, tables=1.0)[1])[0].engine_id)
+        chosen_engines.add(actions_of(api.Send, driver.submit(0, work=0.1, table_group=1.0)[1])[0].engine_id)
     assert len(chosen_engines) > 1
 
 
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -41,7 +41,7 @@
         sends = [
             send
             for group in range(20)
-            for send in actions_of(api.Send, driver.submit(0, tables=float(group))[1])
+            for send in actions_of(api.Send, driver.submit(0, table_group=float(group))[1])
         ]
         monkeypatch.setattr(LoadEstimator, "engine_load", engine_load)
         assert len(sends) == 20
@@ -51,12 +51,12 @@
 
 def test_no_request_is_lost_when_the_list_is_emptied_and_filled_again():
     driver = driver_with_engines()
-    first = actions_of(api.Send, driver.submit(0, tables=1.0)[1])[0]
-    driver.handle(api.EngineList((), whole=True))
-    waiting, actions = driver.submit(0, tables=1.0)
+    first = actions_of(api.Send, driver.submit(0, table_group=1.0)[1])[0]
+    driver.handle(api.EngineList((), is_full=True))
+    waiting, actions = driver.submit(0, table_group=1.0)
     assert not actions_of(api.Send, actions)
     driver.now += 0.1
-    actions = driver.handle(api.EngineList(tuple(api.EngineEntry(n) for n in range(1, 1001)), whole=True))
+    actions = driver.handle(api.EngineList(tuple(api.EngineEntry(n) for n in range(1, 1001)), is_full=True))
     assert [send.request_id for send in actions_of(api.Send, actions)] == [waiting]
     driver.finish(first)
     driver.finish(actions_of(api.Send, actions)[0])
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -29,7 +29,7 @@
 
 def test_a_stall_of_the_instance_does_not_count_as_silence_of_an_engine():
     driver = PolicyDriver(engines=3)
-    send = driver.send_request(1, work=1.0, tables=1.0)
+    send = driver.send_request(1, work=1.0, table_group=1.0)
     driver.now += 3.0
     driver.timers.clear()
     outcome = api.AttemptOutcome(send.request_id, 0, send.engine_id, api.Result.OK, 0.4, True, 1.0, 50.0)
@@ -77,16 +77,18 @@
     )
     not_a_number = float("nan")
     infinity = float("inf")
-    infinite_request = api.Request(5000, 0, timeout=4.0, work=not_a_number, memory_mb=infinity)
+    infinite_request = api.Request(
+        5000, 0, timeout=4.0, estimated_work=not_a_number, estimated_memory_mb=infinity
+    )
     assert actions_of(api.Send, driver.handle(infinite_request))
-    negative_request = api.Request(5001, 0, timeout=4.0, work=-3.0, memory_mb=-1.0)
+    negative_request = api.Request(5001, 0, timeout=4.0, estimated_work=-3.0, estimated_memory_mb=-1.0)
     assert actions_of(api.Send, driver.handle(negative_request))
 
 
 def test_a_failed_subscription_is_retried_with_backoff():
     driver = PolicyDriver(discovery_push=False)
     assert driver.logged(api.SubscribeToEngineList)
-    driver.handle(api.EngineList(failed=True))
+    driver.handle(api.EngineList(has_failed=True))
     assert len(actions_of(api.SubscribeToEngineList, driver.run(2.0))) == 1
 
 
@@ -102,7 +104,7 @@
 driver = PolicyDriver(engines=5, seed=7)
 for number in range(300):
     driver.now += 0.01
-    _, actions = driver.submit(number % 7 == 0, tables=float(number % 13), work=0.1 + number % 5)
+    _, actions = driver.submit(number % 7 == 0, table_group=float(number % 13), work=0.1 + number % 5)
     driver.run(0.02)
     for action in actions:
         if type(action).__name__ == 'Send' and number % 3:
@@ -130,9 +132,9 @@
     first_of_two = PolicyDriver(seed=3)
     second_of_two = PolicyDriver(seed=4)
     for group in range(50):
-        alone.submit(tables=float(group))
-        first_of_two.submit(tables=float(group))
-        _, actions = second_of_two.submit(tables=float(group))
+        alone.submit(table_group=float(group))
+        first_of_two.submit(table_group=float(group))
+        _, actions = second_of_two.submit(table_group=float(group))
         for send in actions_of(api.Send, actions):
             second_of_two.finish(send, api.Result.ERROR)
     assert alone.log == first_of_two.log
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -71,7 +71,7 @@
 
 def test_a_timeout_of_zero_does_not_mean_the_deadline_of_the_class():
     driver = PolicyDriver()
-    request = api.Request(900, 0, timeout=0.0, work=0.2)
+    request = api.Request(900, 0, timeout=0.0, estimated_work=0.2)
     assert actions_of(api.Reject, driver.handle(request))
 
 
@@ -95,7 +95,7 @@
 def test_requests_beyond_the_quota_of_their_tenant_have_a_low_value():
     tenants = (api.TenantSpec("a", 2.0), api.TenantSpec("b", 100.0))
     driver = PolicyDriver(tenants=tenants, over_share_worth=0.1)
-    request_ids = [driver.submit(tenant=0)[0] for _ in range(6)]
+    request_ids = [driver.submit(tenant_index=0)[0] for _ in range(6)]
     values = [driver.pending_request(request_id).value for request_id in request_ids]
     assert 1.0 in values
     assert values[-1] == pytest.approx(0.1)
--- a/tests/test_policy_cold_start.py
+++ b/tests/test_policy_cold_start.py
@@ -33,7 +33,7 @@
         driver.now += random.random() * gateways / 100.0
         while driver.now < END:
             work = random.lognormvariate(-2.0, 1.3)
-            request_id, actions = driver.submit(work=work, tables=1.0)
+            request_id, actions = driver.submit(work=work, table_group=1.0)
             works[request_id] = work
             for send in actions_of(api.Send, actions):
                 sent.append((driver.now, works[send.request_id]))
@@ -55,7 +55,7 @@
         driver = make_cold_driver(seed, gateways=40)
         driver.handle(api.FleetSize(instance_count))
         while driver.now < END:
-            _, actions = driver.submit(work=0.05, tables=1.0)
+            _, actions = driver.submit(work=0.05, table_group=1.0)
             for send in actions_of(api.Send, actions):
                 count += 1
                 driver.finish(send, work=0.05)
--- a/tests/test_policy_probes.py
+++ b/tests/test_policy_probes.py
@@ -11,7 +11,7 @@
 
 def test_long_requests_are_sent_after_a_probe_and_silent_engines_are_skipped():
     driver = PolicyDriver(engines=4, gateways=100, may_probe=True)
-    request_id, actions = driver.submit(1, work=3.0, tables=1.0)
+    request_id, actions = driver.submit(1, work=3.0, table_group=1.0)
     (first_probe,) = actions_of(api.Probe, actions)
     assert not actions_of(api.Send, actions)
     (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first one had no answer
@@ -32,7 +32,7 @@
         engine.health.on_probation = True  # probed at any price
     for group in range(100):
         driver.now += 0.5
-        _, actions = driver.submit(1, work=3.0, tables=float(group))
+        _, actions = driver.submit(1, work=3.0, table_group=float(group))
         for probe in actions_of(api.Probe, actions):
             driver.handle(api.ProbeResult(probe.engine_id, api.Result.OK, load_report=BUSY_REPORT))
     assert min_count < len(driver.logged(api.Probe)) <= 100 * max_per_request + 4
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("price, probe_count", [(0.011, 1), (0.08, 0)])
 def test_a_request_is_sent_after_a_probe_only_if_probes_are_cheap(price, probe_count):
     driver = PolicyDriver(engines=4, gateways=40, may_probe=True, probe_price=price)
-    _, actions = driver.submit(1, work=3.0, tables=1.0)
+    _, actions = driver.submit(1, work=3.0, table_group=1.0)
     assert len(actions_of(api.Probe, actions)) == probe_count
     assert len(actions_of(api.Send, actions)) == 1 - probe_count
 
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
 def test_a_keyed_request_is_retried_only_in_its_repeat_group_and_window(group):
-    keyed = replace(LOOKUP, repeat=api.RepeatPolicy.KEYED, group=group, repeat_window=1.0)
+    keyed = replace(LOOKUP, repeat=api.RepeatPolicy.KEYED, repeat_group=group, repeat_window=1.0)
     entries = tuple(api.EngineEntry(engine, zone=engine % 2, cell=engine % 2) for engine in range(1, 7))
     driver = PolicyDriver(classes=(keyed,), entries=entries)
     first = driver.send_request()
@@ -49,7 +49,7 @@
 def test_a_request_is_answered_when_its_repeat_window_ends(group, answer):
     """It must not wait until its deadline, since it cannot have another attempt."""
     keyed = api.ClassSpec(
-        "post", aim=3.0, deadline=20.0, repeat=api.RepeatPolicy.KEYED, group=group, repeat_window=0.5
+        "post", aim=3.0, deadline=20.0, repeat=api.RepeatPolicy.KEYED, repeat_group=group, repeat_window=0.5
     )
     ready = (api.EngineEntry(1, cell=1), api.EngineEntry(2, cell=2))
     draining = tuple(replace(entry, state=api.EngineState.DRAINING) for entry in ready)
@@ -65,7 +65,7 @@
 
 def test_retries_stay_within_the_budget():
     driver = PolicyDriver(engines=6, budget_share=0.1, budget_free=1.0, budget_span=5.0, try_limit=5)
-    sends = [driver.send_request(tables=float(group)) for group in range(10)]
+    sends = [driver.send_request(table_group=float(group)) for group in range(10)]
     retry_count = sum(len(actions_of(api.Send, driver.finish(send, Result.ERROR))) for send in sends)
     assert 1 <= retry_count <= 2
 
@@ -95,16 +95,16 @@
 
 def test_attempts_on_a_silent_engine_are_cancelled_and_retried_on_another_one():
     driver = PolicyDriver(engines=3)
-    silent = driver.send_request(tables=1.0)
+    silent = driver.send_request(table_group=1.0)
     cancels = []
     for step in range(40):
         driver.now += 0.1
-        _, actions = driver.submit(tables=float(step % 5))
+        _, actions = driver.submit(table_group=float(step % 5))
         for send in actions_of(api.Send, actions):
             if send.engine_id != silent.engine_id:
                 driver.finish(send)
         cancels += actions_of(api.Cancel, driver.run(0.0))
-    assert (silent.request_id, 0) in [(cancel.request_id, cancel.attempt) for cancel in cancels]
+    assert (silent.request_id, 0) in [(cancel.request_id, cancel.attempt_index) for cancel in cancels]
     retries = actions_of(api.Send, driver.finish(silent, Result.CANCELLED))
     assert all(retry.engine_id != silent.engine_id for retry in retries)
 
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -11,8 +11,10 @@
     engines_by_seed = []
     for seed in (1, 2):
         driver = PolicyDriver(engines=7, seed=seed)
-        engines_by_seed.append([driver.send_request(tables=float(group)).engine_id for group in range(20)])
-        assert len({driver.send_request(tables=3.0).engine_id for _ in range(3)}) == 1
+        engines_by_seed.append(
+            [driver.send_request(table_group=float(group)).engine_id for group in range(20)]
+        )
+        assert len({driver.send_request(table_group=3.0).engine_id for _ in range(3)}) == 1
     assert engines_by_seed[0] == engines_by_seed[1]
     assert len(set(engines_by_seed[0])) > 3
 
@@ -21,8 +23,8 @@
     before = PolicyDriver(engines=7)
     after = PolicyDriver(entries=tuple(api.EngineEntry(engine) for engine in range(1, 7)))
     for group in range(30):
-        send_before = before.send_request(tables=float(group))
-        send_after = after.send_request(tables=float(group))
+        send_before = before.send_request(table_group=float(group))
+        send_after = after.send_request(table_group=float(group))
         before.finish(send_before)
         after.finish(send_after)
         assert send_before.engine_id in (send_after.engine_id, 7)
@@ -32,7 +34,7 @@
     driver = PolicyDriver(engines=2)
     driver.handle(api.EngineList((api.EngineEntry(1, state=api.EngineState.DRAINING),)))
     for group in range(20):
-        assert driver.send_request(tables=float(group), work=0.05).engine_id == 2
+        assert driver.send_request(table_group=float(group), work=0.05).engine_id == 2
 
 
 def test_placement_rules_hold_even_if_the_only_allowed_engine_fails():
@@ -47,12 +49,12 @@
 
 def test_another_engine_is_selected_if_the_preferred_one_is_busy():
     driver = PolicyDriver(engines=3, gateways=100)
-    request_id, _ = driver.submit(tables=2.0)
+    request_id, _ = driver.submit(table_group=2.0)
     request = driver.pending_request(request_id)
     preferred = driver.controller.scheduler.preferred_engines(request)[0].entry.engine_id
     for engine in (1, 2, 3):
         driver.report_load(engine, cpu=0.85 if engine == preferred else 0.3)
-    assert driver.send_request(tables=2.0).engine_id != preferred
+    assert driver.send_request(table_group=2.0).engine_id != preferred
 
 
 def test_table_loads_avoid_the_engines_of_their_readers_and_have_a_high_priority():
@@ -63,9 +65,9 @@
     for seed in range(30):
         classes = (replace(LOOKUP, yields=True), load)
         driver = PolicyDriver(engines=9, seed=seed, gateways=100, classes=classes)
-        _, actions = driver.submit(0, tables=4.0, work=0.05)
+        _, actions = driver.submit(0, table_group=4.0, work=0.05)
         engines_of_readers |= {send.engine_id for send in actions_of(api.Send, actions)}
-        request_id, actions = driver.submit(1, tables=4.0, work=3.0)
+        request_id, actions = driver.submit(1, table_group=4.0, work=3.0)
         engines_of_table_loads |= {send.engine_id for send in actions_of(api.Send, actions)}
         priorities |= {
             resources.priority
--- a/tests/test_policy_wait_queue.py
+++ b/tests/test_policy_wait_queue.py
@@ -9,7 +9,7 @@
 from applevale.policy import AdmissionController
 
 Result = api.Result
-ORDERED = replace(LOOKUP, repeat=api.RepeatPolicy.UNSAFE, ordered=True)
+ORDERED = replace(LOOKUP, repeat=api.RepeatPolicy.UNSAFE, is_ordered=True)
 
 
 def request_ids(kind, actions):
@@ -98,8 +98,8 @@
 def test_a_request_of_unknown_order_is_rejected_and_others_wait_for_its_answer():
     driver = PolicyDriver(classes=(ORDERED,), order_gap=0.02)
     actions = driver.handle(
-        api.Request(901, 0, order_key=7, timeout=4.0, work=0.2, is_order_unknown=False),
-        api.Request(902, 0, order_key=7, timeout=4.0, work=0.2, is_order_unknown=True),
+        api.Request(901, 0, order_key=7, timeout=4.0, estimated_work=0.2, is_order_unknown=False),
+        api.Request(902, 0, order_key=7, timeout=4.0, estimated_work=0.2, is_order_unknown=True),
     )
     assert [type(action) for action in actions] == [api.Reject]
     assert actions[0].request_id == 902
@@ -124,7 +124,7 @@
     router = RecordingRouter()
     controller = AdmissionController(make_settings(), 1, router)
     draining = api.EngineEntry(1, state=api.EngineState.DRAINING)
-    controller.handle(100.0, (api.EngineList((draining,), whole=True),))
-    actions = controller.handle(100.1, (api.Request(1, 0, timeout=4.0, work=30.0),))
+    controller.handle(100.0, (api.EngineList((draining,), is_full=True),))
+    actions = controller.handle(100.1, (api.Request(1, 0, timeout=4.0, estimated_work=30.0),))
     assert request_ids(api.Reject, actions) == [1]
     assert router.saturation_checks == [(100.1, 0, 30.0)]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -19,12 +19,12 @@
         deadline=6.0,
         worth=4.0,
         repeat=api.RepeatPolicy.UNSAFE,
-        ordered=True,
+        is_ordered=True,
         threads=2,
         load=True,
     ),
     api.ClassSpec(
-        "keyed", aim=1.0, deadline=4.0, repeat=api.RepeatPolicy.KEYED, group="zone", repeat_window=1.5
+        "keyed", aim=1.0, deadline=4.0, repeat=api.RepeatPolicy.KEYED, repeat_group="zone", repeat_window=1.5
     ),
     api.ClassSpec("bound", aim=1.0, deadline=4.0, kinds=frozenset({1}), zones=frozenset({0, 1})),
 )
@@ -99,7 +99,7 @@
             api.EngineEntry(engine, zone=engine % 3, kind=engine % 2, cell=engine % 2)
             for engine in range(1, 9)
         ]
-        self.handle(api.EngineList(tuple(self.entries), whole=True))
+        self.handle(api.EngineList(tuple(self.entries), is_full=True))
 
     def handle(self, event):
         """Handle an event, and check the actions."""
@@ -144,7 +144,7 @@
 
     def _cancel_attempt(self, now, cancel):
         for attempt in self.attempts:
-            if attempt.send.request_id == cancel.request_id and attempt.attempt == cancel.attempt:
+            if attempt.send.request_id == cancel.request_id and attempt.attempt == cancel.attempt_index:
                 attempt.ends_at = now + CANCEL_SECONDS
                 attempt.result = Result.CANCELLED
 
@@ -205,9 +205,9 @@
                 class_index,
                 order_key=self.random.randrange(3),
                 timeout=timeout,
-                work=self.random.expovariate(2.0),
-                memory_mb=self.random.expovariate(0.002),
-                tables=float(self.random.randrange(12)),
+                estimated_work=self.random.expovariate(2.0),
+                estimated_memory_mb=self.random.expovariate(0.002),
+                table_group=float(self.random.randrange(12)),
             )
         )
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -219,7 +219,7 @@
 
 def test_a_load_report_datagram_is_read():
     events = make_load_reports().receive(11.0, bytes.fromhex(STORED["load_reports"]))
-    assert [(event.engine_id, event.load_report, event.threads) for event in events] == [
+    assert [(event.engine_id, event.load_report, event.sent_threads) for event in events] == [
         (0x00000001, (), 5),
         (0x00000001, (3.0, 1.0, -1.0, -1.0, 0.75), 0),
         (0x00C41F7A, (254.0, 0.0, -1.0, -1.0, -1.0), 0),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -51,10 +51,10 @@
     )
     assert event.class_index == 0
     assert event.order_key == 0x91F03B7C55D20A64
-    assert event.memory_mb == 384.0
+    assert event.estimated_memory_mb == 384.0
     assert event.timeout == pytest.approx(0.24)
-    assert event.work == pytest.approx(0.012)
-    assert event.tables == 11.0
+    assert event.estimated_work == pytest.approx(0.012)
+    assert event.table_group == 11.0
 
 
 def test_the_outcome_of_an_attempt_is_decoded():
@@ -65,8 +65,8 @@
     assert event.result is api.Result.OK
     assert event.is_final
     assert event.engine_id == 0x03124A07
-    assert event.work == pytest.approx(0.017)
-    assert event.memory_mb == 0x60 * 4
+    assert event.used_work == pytest.approx(0.017)
+    assert event.used_memory_mb == 0x60 * 4
     assert event.load_report == pytest.approx((3.0, 0.62, 1.25, 0.4))
 
 
@@ -82,7 +82,7 @@
         "6400000000"
     )
     engine_list, note, probe, timer, client_gone, peer_message, shutdown = events
-    assert engine_list.whole
+    assert engine_list.is_full
     assert [entry.engine_id for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
     assert engine_list.entries[1].size == 1.5
     assert engine_list.entries[1].started_at == pytest.approx(6.1)
@@ -122,7 +122,7 @@
     settings = read_settings(SETTINGS)
     assert settings.classes[0].kinds is None
     assert settings.classes[1].kinds == frozenset({0})
-    assert settings.classes[1].ordered
+    assert settings.classes[1].is_ordered
     assert settings.classes[1].threads == 3
     assert settings.kinds[1].cores == 12
     assert settings.budget_share == 0.1
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -158,7 +158,7 @@
         self.router = ZoneRouter(zones, ZONE_NAMES, CLASS_NAMES, home)
         self.controller = AdmissionController(self.settings, 1, self.router)
         self.entries = entries or engine_entries()
-        self.handle(api.EngineList(self.entries, whole=True))
+        self.handle(api.EngineList(self.entries, is_full=True))
 
     def zone(self, send):
         """Return the zone of the engine to which a request is sent."""
@@ -174,7 +174,7 @@
 def test_work_stays_in_the_home_zone_while_it_has_capacity():
     driver = ZoneDriver()
     for group in range(40):
-        for send in actions_of(api.Send, driver.submit(tables=float(group))[1]):
+        for send in actions_of(api.Send, driver.submit(table_group=float(group))[1]):
             assert driver.zone(send) == 0
             driver.finish(send)
 
@@ -185,7 +185,7 @@
     sent_by_zone = {1: [], 2: []}
     for group in range(190):  # 1.9 s, within the cooldown of 2 s.
         driver.run(0.01)
-        for send in actions_of(api.Send, driver.submit(tables=float(group), work=0.3)[1]):
+        for send in actions_of(api.Send, driver.submit(table_group=float(group), work=0.3)[1]):
             sent_by_zone[driver.zone(send)].append((driver.now, 0.3))
             driver.finish(send, work=0.3)
     max_work_per_second = {
@@ -216,7 +216,11 @@
     request_ids = iter(range(10_000, 20_000))
     requests = [
         api.Request(
-            next(request_ids), class_index=number % 2 * 2, timeout=4.0, work=1.0, tables=float(number)
+            next(request_ids),
+            class_index=number % 2 * 2,
+            timeout=4.0,
+            estimated_work=1.0,
+            table_group=float(number),
         )
         for number in range(200)
     ]
@@ -233,14 +237,18 @@
     driver.lose(0)
     driver.run(2.1)
     sends = [
-        send for group in range(10) for send in actions_of(api.Send, driver.submit(tables=float(group))[1])
+        send
+        for group in range(10)
+        for send in actions_of(api.Send, driver.submit(table_group=float(group))[1])
     ]
     assert sum(driver.zone(send) == 0 for send in sends) == 1
     trial_send = next(send for send in sends if driver.zone(send) == 0)
     for _ in range(3):
         driver.finish(trial_send)
         sends = [
-            send for group in range(4) for send in actions_of(api.Send, driver.submit(tables=float(group))[1])
+            send
+            for group in range(4)
+            for send in actions_of(api.Send, driver.submit(table_group=float(group))[1])
         ]
         trial_send = next((send for send in sends if driver.zone(send) == 0), trial_send)
     recovery = driver.router.zones[0].recovery
@@ -249,7 +257,7 @@
     sent = []
     while driver.now < ramp_start + 9.0:
         driver.run(0.02)
-        for send in actions_of(api.Send, driver.submit(tables=driver.now, work=0.4)[1]):
+        for send in actions_of(api.Send, driver.submit(table_group=driver.now, work=0.4)[1]):
             if driver.zone(send) == 0:
                 sent.append((driver.now, 0.4))
             driver.finish(send, work=0.4)
