--- a/applevale/api/routing.py
+++ b/applevale/api/routing.py
@@ -10,18 +10,18 @@
 class Router:
     """A router that treats all zones alike; `zones.zone_router.ZoneRouter` tells them apart.
 
-    `request_class` is an index into the classes of the settings. Work is in seconds on one core.
+    `class_index` is an index into the classes of the settings. Work is in seconds on one core.
     """
 
-    def tier(self, request_class: int, zone: int) -> int:
+    def zone_tier(self, class_index: int, zone: int) -> int:
         """Return the tier of a zone for a class; 0 is the first choice."""
         return 0
 
-    def may_take(self, now: float, request_class: int, zone: int, work: float) -> bool:
+    def can_accept_work(self, now: float, class_index: int, zone: int, work: float) -> bool:
         """Return whether a zone may get this much work now."""
         return True
 
-    def is_saturated(self, now: float, request_class: int, work: float) -> bool:
+    def is_saturated(self, now: float, class_index: int, work: float) -> bool:
         """Return whether to reject work, since the home zone is impaired and no zone may take it."""
         return False
 
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -65,7 +65,7 @@
         if first is not None and getattr(first.entry, spec.repeat_group) != getattr(entry, spec.repeat_group):
             return False
         now = self._context.now
-        is_zone_open = self._context.zone_router.may_take(
+        is_zone_open = self._context.zone_router.can_accept_work(
             now, pending.request.class_index, entry.zone, pending.work
         )
         # The budget of a cold engine is checked last, since each check computes it.
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -58,7 +58,7 @@
         router = self._context.zone_router
         is_table_load = pending.spec.load
         order = [engine for engine in self._context.ready_engines() if pending.allows(engine.entry)]
-        tiers = {engine: router.tier(pending.request.class_index, engine.entry.zone) for engine in order}
+        tiers = {engine: router.zone_tier(pending.request.class_index, engine.entry.zone) for engine in order}
         hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine_id) for engine in order}
         sign = -1 if is_table_load else 1
         order.sort(key=lambda engine: (tiers[engine], sign * hashes[engine]))
@@ -101,7 +101,7 @@
                 return Route(engine)
             fits = new_load <= max(limit, idle_limit)
             if fits or (is_short and load < config.OVERFULL_LOAD):
-                tier = self._context.zone_router.tier(pending.request.class_index, engine.entry.zone)
+                tier = self._context.zone_router.zone_tier(pending.request.class_index, engine.entry.zone)
                 is_remote = position >= config.AFFINITY_ENGINES or not fits
                 candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine_id))
         return self._select(candidates)
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -76,13 +76,13 @@
 
     Attributes:
         index: Index among the attempts of the request, from 0.
-        engine: The engine's id.
+        engine_id: Id of its engine.
         sent_at: Time at which it was started, by the driver's clock.
         timeout_timer: Timer that cancels the attempt; None while it is being started.
     """
 
     index: int
-    engine: int
+    engine_id: int
     sent_at: float
     timeout_timer: asyncio.TimerHandle | None = None
 
@@ -133,13 +133,13 @@
 
     def _submit(self) -> None:
         request = self.request
-        time_to_live = self.time_remaining() - DEADLINE_MARGIN_SECONDS - self._driver.read_delay()
+        timeout = self.time_remaining() - DEADLINE_MARGIN_SECONDS - self._driver.read_delay()
         event = api.Request(
             self.number,
             request.class_index,
             request.tenant_index,
             request.order_key,
-            max(0.0, time_to_live),
+            max(0.0, timeout),
             request.estimated_work,
             request.estimated_memory_mb,
             request.table_group,
@@ -244,7 +244,7 @@
         outcome = api.AttemptOutcome(
             self.number,
             record.index,
-            record.engine,
+            record.engine_id,
             result.result,
             self._driver.now() - record.sent_at,
             succeeded,
--- a/applevale/zones/zone_router.py
+++ b/applevale/zones/zone_router.py
@@ -84,16 +84,16 @@
             zone: settings.instance_share(home_name, name) for zone, name in enumerate(zone_names)
         }
 
-    def tier(self, request_class: int, zone: int) -> int:
+    def zone_tier(self, class_index: int, zone: int) -> int:
         """Return the tier of a zone: 0 for the first choice; a zone in no tier is ranked last."""
         return self.tiers.get(zone, len(self.tiers))
 
-    def may_take(self, now: float, request_class: int, zone: int, work: float) -> bool:
+    def can_accept_work(self, now: float, class_index: int, zone: int, work: float) -> bool:
         """Return whether a zone may receive this much work of a class now."""
         state = self.zones[zone]
         state.recovery.advance(now)
         phase = state.recovery.phase
-        if zone not in self.tiers or (zone != self.home and request_class in self.pinned_classes):
+        if zone not in self.tiers or (zone != self.home and class_index in self.pinned_classes):
             return False
         if phase is RecoveryPhase.LOST or (phase is RecoveryPhase.TRIAL and state.trial_attempts):
             return False
@@ -103,13 +103,13 @@
             now, work, self.ramp_limit(now, zone)
         )
 
-    def is_saturated(self, now: float, request_class: int, work: float) -> bool:
+    def is_saturated(self, now: float, class_index: int, work: float) -> bool:
         """Return whether the home zone is not healthy and no zone may receive the work now."""
         home_recovery = self.zones[self.home].recovery
         home_recovery.advance(now)
         if home_recovery.phase is RecoveryPhase.HEALTHY:
             return False
-        return not any(self.may_take(now, request_class, zone, work) for zone in self.tiers)
+        return not any(self.can_accept_work(now, class_index, zone, work) for zone in self.tiers)
 
     def available_rate(self, now: float, cores: float) -> float:
         """Return the work per second, in cores, that this instance may send; `cores` is not used."""
--- a/tests/test_policy_wait_queue.py
+++ b/tests/test_policy_wait_queue.py
@@ -114,8 +114,8 @@
     def __init__(self):
         self.saturation_checks = []
 
-    def is_saturated(self, now, request_class, work):
-        self.saturation_checks.append((now, request_class, work))
+    def is_saturated(self, now, class_index, work):
+        self.saturation_checks.append((now, class_index, work))
         return False
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -282,7 +282,7 @@
     driver.handle(api.EngineList(returned))
     assert driver.zone(actions_of(api.Send, driver.submit()[1])[0]) == 1
     driver.run(2.1)
-    assert driver.router.may_take(driver.now, 0, 0, 0.2)
+    assert driver.router.can_accept_work(driver.now, 0, 0, 0.2)
     assert driver.router.zones[0].recovery.phase is RecoveryPhase.TRIAL
 
 
@@ -296,9 +296,9 @@
 
 def test_the_default_router_does_not_distinguish_zones():
     router = api.Router()
-    assert router.may_take(0.0, 0, 5, 1e9)
+    assert router.can_accept_work(0.0, 0, 5, 1e9)
     assert router.available_rate(0.0, 3.0) == 3.0
-    assert router.tier(0, 5) == 0
+    assert router.zone_tier(0, 5) == 0
 
 
 @pytest.mark.parametrize(
