--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -9,17 +9,17 @@
 class Send:
     """Send an attempt of a request to an engine."""
 
-    request: int
-    engine: int
+    request_id: int
+    engine_id: int
     timeout: float = 0.0  # 0 means as long as the client waits
-    announce: bool = False  # whether to tell peers, since the engine looks less loaded than most
+    announce_to_peers: bool = False  # whether to tell peers, since the engine looks less loaded than most
 
 
 @dataclass(frozen=True)
-class Terms:
+class SetResources:
     """Set the priority and the memory of the attempts of a request."""
 
-    request: int
+    request_id: int
     priority: int
     memory_mb: float = 0.0  # 0 means that the engine chooses
 
@@ -28,7 +28,7 @@
 class Reject:
     """Reject a request: the client may send it again."""
 
-    request: int
+    request_id: int
     retry_after: float = 0.0  # delay before a retry; 0 means no advice
 
 
@@ -36,29 +36,29 @@
 class Fail:
     """Fail a request, which may have been executed."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True)
 class Cancel:
     """Cancel an attempt; its outcome is reported all the same."""
 
-    request: int
-    attempt: int
+    request_id: int
+    attempt_index: int
 
 
 @dataclass(frozen=True)
 class Probe:
     """Ask an engine for a load report."""
 
-    engine: int
+    engine_id: int
 
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Submit a `Timer` event with this token after a delay."""
+    """Submit a `TimerFired` event with this token after a delay."""
 
-    after: float
+    delay: float
     token: int
 
 
@@ -70,14 +70,14 @@
 
 
 @dataclass(frozen=True)
-class Subscribe:
+class SubscribeToEngineList:
     """Subscribe to the engine list, or end the subscription."""
 
     active: bool = True
 
 
 @dataclass(frozen=True)
-class FetchList:
+class FetchEngineList:
     """Fetch the engine list once."""
 
 
@@ -85,10 +85,20 @@
 class SendPeerMessage:
     """Send a message to another instance."""
 
-    peer: int | None  # None means all instances
+    recipient_id: int | None  # None means all instances
     body: bytes
 
 
 Action = (
-    Send | Terms | Reject | Fail | Cancel | Probe | SetTimer | Log | Subscribe | FetchList | SendPeerMessage
+    Send
+    | SetResources
+    | Reject
+    | Fail
+    | Cancel
+    | Probe
+    | SetTimer
+    | Log
+    | SubscribeToEngineList
+    | FetchEngineList
+    | SendPeerMessage
 )
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class State(Enum):
+class EngineState(Enum):
     """The state of an engine in the engine list."""
 
     READY = "ready"
@@ -19,30 +19,30 @@
 
     OK = "ok"
     ERROR = "error"  # error reply of the engine, which may have executed the request
-    FULL = "full"  # rejected by an overloaded engine, without execution
+    REJECTED = "full"  # rejected by an overloaded engine, without execution
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"  # withdrawn or expired before its execution
+    WITHDRAWN = "moot"  # withdrawn or expired before its execution
 
 
 # Results of attempts that were certainly not executed, and of those that may be in execution still.
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
-MAY_RUN_ON = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})
+NEVER_EXECUTED = frozenset({Result.REJECTED, Result.CONNECT_FAILED, Result.WITHDRAWN})
+POSSIBLY_RUNNING = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})
 
 
 @dataclass(frozen=True)
 class EngineEntry:
     """One engine of the engine list; zone and kind are indices into the settings."""
 
-    engine: int
+    engine_id: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
     size: float = 1.0  # number of cores, if the settings state none for its kind
-    state: State = State.READY
-    started: float = 0.0  # Unix time of its last start; 0 means long ago
+    state: EngineState = EngineState.READY
+    started_at: float = 0.0  # Unix time of its last start; 0 means long ago
 
 
 @dataclass(frozen=True)
@@ -50,93 +50,93 @@
     """The engine list, a change of it, or a failure to get it."""
 
     entries: tuple[EngineEntry, ...] = ()
-    whole: bool = False  # whether the entries replace the old list, or are changed ones only
-    failed: bool = False  # whether a call failed or the subscription ended; then there are no entries
+    is_full: bool = False  # whether the entries replace the old list, or are changed ones only
+    has_failed: bool = False  # whether a call failed or the subscription ended; then there are no entries
 
 
 @dataclass(frozen=True)
 class Request:
     """A request of a client has come in."""
 
-    request: int  # id
-    cls: int  # index of the class in the settings
-    tenant: int = 0  # index of the tenant in the settings
-    key: int = 0  # order key; 0 means none
-    ttl: float = 0.0  # time until the client gives up
-    work: float = 0.0  # estimated time on one core; 0 means no estimate
-    memory_mb: float = 0.0  # estimated memory; 0 means no estimate
-    tables: float = 0.0  # number of the table group that the request uses
-    client_retry: bool = False  # whether the client says that it sends the request again
-    order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
+    request_id: int
+    class_index: int  # index of the class in the settings
+    tenant_index: int = 0  # index of the tenant in the settings
+    order_key: int = 0  # 0 means none
+    timeout: float = 0.0  # time until the client gives up
+    estimated_work: float = 0.0  # time on one core; 0 means no estimate
+    estimated_memory_mb: float = 0.0  # 0 means no estimate
+    table_group: float = 0.0  # number of the table group that the request uses
+    is_client_retry: bool = False  # whether the client says that it sends the request again
+    is_order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
 
 
 @dataclass(frozen=True)
-class AnswerSent:
+class ResponseSent:
     """The final answer to a request with an order key has been sent, or its client is gone.
 
     It ends the wait of the next request of the key; see `Settings.order_gap`.
     """
 
-    request: int
-    key: int  # order key
-    delivery_time: float  # time from now until the client has the answer in any case
+    request_id: int
+    order_key: int
+    delivery_seconds: float  # time from now until the client has the answer in any case
 
 
 @dataclass(frozen=True)
-class Outcome:
+class AttemptOutcome:
     """An attempt has ended."""
 
-    request: int
-    attempt: int
-    engine: int
+    request_id: int
+    attempt_index: int
+    engine_id: int
     result: Result
     duration: float = 0.0
-    final: bool = False  # whether it ends the request
-    work: float = 0.0  # time on one core that was used; 0 if unknown
-    memory_mb: float = 0.0  # memory that was used; 0 if unknown
-    report: tuple[float, ...] = ()  # load report, in the order of `Settings.report_columns`
+    is_final: bool = False  # whether it ends the request
+    used_work: float = 0.0  # time on one core; 0 if unknown
+    used_memory_mb: float = 0.0  # 0 if unknown
+    load_report: tuple[float, ...] = ()  # in the order of `Settings.report_columns`
 
 
 @dataclass(frozen=True)
-class Started:
+class StreamStarted:
     """An attempt streams rows to the client, so that no other attempt can answer the request."""
 
-    request: int
-    attempt: int
-    engine: int
+    request_id: int
+    attempt_index: int
+    engine_id: int
 
 
-class NoteKind(Enum):
-    """The subject of a `Note`."""
+class AttemptUpdateKind(Enum):
+    """The subject of an `AttemptUpdate`."""
 
     PROGRESS = 1  # share of the work that is done
-    SPILLS = 2  # lack of memory, in MB, for which the attempt spills to disk
-    WAITS = 3  # cause of a wait: 1 for memory, 2 for a table load
+    SPILLING = 2  # lack of memory, in MB, for which the attempt spills to disk
+    WAITING = 3  # cause of a wait: 1 for memory, 2 for a table load
 
 
 @dataclass(frozen=True)
-class Note:
+class AttemptUpdate:
     """A status report on an attempt in flight."""
 
-    request: int
-    attempt: int
-    engine: int
-    kind: NoteKind
-    value: float = 0.0  # as described at `NoteKind`
+    request_id: int
+    attempt_index: int
+    engine_id: int
+    kind: AttemptUpdateKind
+    value: float = 0.0  # as described at `AttemptUpdateKind`
 
 
 @dataclass(frozen=True)
 class ProbeResult:
     """A probe has been answered, or has failed."""
 
-    engine: int
+    engine_id: int
     result: Result
     duration: float = 0.0
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True)
-class Timer:
+class TimerFired:
     """A timer that was set has fired."""
 
     token: int
@@ -146,14 +146,14 @@
 class ClientGone:
     """The client has cancelled the request or closed its connection."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True)
 class PeerMessage:
     """A message from another instance."""
 
-    sender: int
+    sender_id: int
     body: bytes = b""
 
 
@@ -161,29 +161,29 @@
 class FleetSize:
     """The number of instances that share the fleet's budgets, in place of the one in the settings."""
 
-    gateways: int
+    instance_count: int
 
 
 @dataclass(frozen=True)
 class PeerLoadReport:
     """What another instance has sent to an engine, and the load report that it got from there."""
 
-    engine: int
-    report: tuple[float, ...] = ()  # load report, as in an outcome
-    threads: int = 0  # threads of the attempts that it has just sent there
+    engine_id: int
+    load_report: tuple[float, ...] = ()  # as in an outcome
+    sent_threads: int = 0  # threads of the attempts that it has just sent there
 
 
 Event = (
     EngineList
     | Request
-    | Outcome
-    | Started
-    | Note
+    | AttemptOutcome
+    | StreamStarted
+    | AttemptUpdate
     | ProbeResult
-    | Timer
+    | TimerFired
     | ClientGone
     | PeerMessage
-    | AnswerSent
+    | ResponseSent
     | PeerLoadReport
     | FleetSize
 )
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -16,7 +16,7 @@
     """A setting is missing or invalid; the text names its key."""
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """Whether a request of a class may be executed more than once."""
 
     SAFE = "safe"  # yes: a repetition is harmless
@@ -34,10 +34,10 @@
     deadline: float = 4.0  # timeout of requests that state none
     worth: float = 1.0  # value of an answer in time
     late_share: float = 0.0  # share of the value that an answer after the target latency earns
-    repeat: Repeat = Repeat.SAFE
-    group: str = "all"  # engines that recognize a repetition (KEYED only), one of REPEAT_GROUPS
+    repeat: RepeatPolicy = RepeatPolicy.SAFE
+    repeat_group: str = "all"  # engines that recognize a repetition (KEYED only), one of REPEAT_GROUPS
     repeat_window: float = 0.0  # time for which engines recognize a repetition (KEYED only)
-    ordered: bool = False  # whether requests of one order key are executed in the order of arrival
+    is_ordered: bool = False  # whether requests of one order key are executed in the order of arrival
     zones: frozenset[int] | None = None  # zones that are allowed; None means all
     kinds: frozenset[int] | None = None  # machine kinds that are allowed; None means all
     stream: bool = False
@@ -87,7 +87,7 @@
     fall: float = 1.5  # window in which the work for a cold engine is limited
     fall_multiple: float = 2.0  # limit of that work, as a multiple of the engine's present capacity
     order_pause: float = 0.0  # pause of an order key after an attempt that may still be in execution
-    order_gap: float = 0.0  # pause of an order key after a request, which also lasts until its `AnswerSent`
+    order_gap: float = 0.0  # pause of an order key after a request, which also lasts until its `ResponseSent`
     budget_share: float | None = None  # share of requests with a further attempt; None means no limit
     budget_free: float = 0.0  # further attempts that are allowed in addition to that share
     budget_span: float = 5.0  # window of both limits
@@ -98,18 +98,18 @@
     may_probe: bool = False  # whether engines can be probed
     probe_price: float = 0.0  # points of the result that one probe per request costs
     peer_price: float = 0.0  # points of the result that 256 bytes to peers per request cost
-    may_tell_peers: bool = False  # whether messages to other instances are allowed
-    retry_after: bool = False  # whether a rejection may advise a delay before a retry
-    parallel_tries: bool = False  # whether two attempts of a request may be in flight at a time
+    may_message_peers: bool = False  # whether messages to other instances are allowed
+    may_advise_retry_after: bool = False  # whether a rejection may advise a delay before a retry
+    allows_parallel_attempts: bool = False  # whether two attempts of a request may be in flight at a time
     over_share_worth: float = 1.0  # factor to the value of requests beyond their tenant's quota
     report_columns: tuple[str, ...] = ()  # columns: active, waiting, cpu, memory_used, disk_busy, ...
-    report_how: str = "none"  # what carries load reports: "answers", "probe", or "none"
-    memory_heeded: bool = False  # whether engines honor the memory in `Terms`
-    ranks_heeded: bool = False  # whether engines honor the priority in `Terms`
-    tells_cost: bool = False  # whether answers state the work and the memory that were used
+    load_report_mode: str = "none"  # what carries load reports: "answers", "probe", or "none"
+    engines_honor_memory: bool = False  # whether engines honor the memory in `SetResources`
+    engines_honor_priority: bool = False  # whether engines honor the priority in `SetResources`
+    engines_report_cost: bool = False  # whether answers state the work and the memory that were used
     progress: float = 0.0  # time between progress reports of an attempt; 0 means that there are none
     largest_share: float = 1.0  # largest share of an engine's memory that one request can get
-    when_short: str = "wait"  # what engines do when they lack memory
+    memory_shortage_mode: str = "wait"  # what engines do when they lack memory
 
     def __post_init__(self) -> None:
         """Check all values."""
@@ -133,8 +133,8 @@
     _check_numbers(spec, f"{place}.")
     if spec.aim <= 0 or spec.deadline <= 0 or spec.threads < 1:
         raise SettingsError(f"{place}: aim, deadline and threads must be above 0")
-    if spec.group not in REPEAT_GROUPS:
-        raise SettingsError(f"{place}.group: must be all, zone or cell, not {spec.group!r}")
+    if spec.repeat_group not in REPEAT_GROUPS:
+        raise SettingsError(f"{place}.group: must be all, zone or cell, not {spec.repeat_group!r}")
 
 
 def _check_numbers(holder: object, prefix: str) -> None:
--- a/applevale/discovery/gated_endpoints.py
+++ b/applevale/discovery/gated_endpoints.py
@@ -42,35 +42,35 @@
             self.entries.clear()
         listed = [endpoint.entry for endpoint in update.endpoints]
         for entry in listed:
-            self.entries[entry.engine] = entry
-            if entry.state is api.State.GONE:
-                del self.entries[entry.engine]
+            self.entries[entry.engine_id] = entry
+            if entry.state is api.EngineState.GONE:
+                del self.entries[entry.engine_id]
         return api.EngineList(tuple(map(self._presented, listed)), update.is_full)
 
     def set_confirmed(self, confirmed: bool) -> api.EngineList:
         """Mark the list as confirmed or stale, and return the whole list."""
         self.is_stale = not confirmed
-        return api.EngineList(tuple(map(self._presented, self.entries.values())), whole=True)
+        return api.EngineList(tuple(map(self._presented, self.entries.values())), is_full=True)
 
     def present(self, engine: int) -> api.EngineList:
         """Return an update with the presented state of one engine; empty if the engine is not listed."""
         entry = self.entries.get(engine)
         if entry is None:
-            return api.EngineList((), whole=False)
-        return api.EngineList((self._presented(entry),), whole=False)
+            return api.EngineList((), is_full=False)
+        return api.EngineList((self._presented(entry),), is_full=False)
 
     def has_usable_engine(self) -> bool:
         """Return whether any engine could get new requests if the list were confirmed."""
         return any(
-            entry.state is api.State.READY and not self._is_excluded(entry.engine)
+            entry.state is api.EngineState.READY and not self._is_excluded(entry.engine_id)
             for entry in self.entries.values()
         )
 
     def _presented(self, entry: api.EngineEntry) -> api.EngineEntry:
         """Return an engine as the decision module sees it."""
-        is_ready = entry.state is api.State.READY
-        if is_ready and (self.is_stale or self._is_excluded(entry.engine)):
-            return replace(entry, state=api.State.DRAINING)
+        is_ready = entry.state is api.EngineState.READY
+        if is_ready and (self.is_stale or self._is_excluded(entry.engine_id)):
+            return replace(entry, state=api.EngineState.DRAINING)
         return entry
 
     def _is_excluded(self, engine: int) -> bool:
--- a/applevale/discovery/registry/records.py
+++ b/applevale/discovery/registry/records.py
@@ -16,7 +16,11 @@
 MAX_QUOTED_NAME_LENGTH = 40
 MAX_DECODER_REASON_LENGTH = 120
 MAX_PARSER_REASON_LENGTH = 80
-_STATE_BY_NAME = {"ready": api.State.READY, "draining": api.State.DRAINING, "gone": api.State.GONE}
+_STATE_BY_NAME = {
+    "ready": api.EngineState.READY,
+    "draining": api.EngineState.DRAINING,
+    "gone": api.EngineState.GONE,
+}
 
 
 class EngineRecord(msgspec.Struct, forbid_unknown_fields=False):
@@ -71,13 +75,13 @@
     record = _decode(value)
     address = _parse_address(record.address)
     entry = api.EngineEntry(
-        engine=parse_instance_id(record.id),
+        engine_id=parse_instance_id(record.id),
         zone=_index_of_name(record.zone, names.zones, "zone"),
         kind=_index_of_name(record.kind, names.kinds, "kind"),
         cell=record.cell,
         size=record.weight,
         state=_STATE_BY_NAME[record.state],
-        started=record.started,
+        started_at=record.started,
     )
     return Endpoint(entry, address)
 
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -32,9 +32,9 @@
     def __init__(self, request: api.Request, context: Context, value_factor: float):
         """Create a request that comes in now; `value_factor` is lower beyond its tenant's quota."""
         self.request = request
-        self.stats = context.classes[request.cls]
+        self.stats = context.classes[request.class_index]
         self.spec = self.stats.spec
-        self.deadline = context.now + max(0.0, estimators.finite_or(request.ttl, self.spec.deadline))
+        self.deadline = context.now + max(0.0, estimators.finite_or(request.timeout, self.spec.deadline))
         self.max_stall_margin = config.MAX_STALL_MARGIN_SHARE * (self.deadline - context.now)
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # attempts without a result
@@ -44,11 +44,11 @@
         self.is_memory_risk = False  # it may exhaust the memory of its engine
         self.waits_for_memory = False  # it needs an engine with enough free memory
         self.features: tuple[float, ...] = ()  # for the prediction of memory pressure; empty without one
-        announced_work = estimators.finite_or(request.work, 0.0)
+        announced_work = estimators.finite_or(request.estimated_work, 0.0)
         self.work = max(self.stats.work.expect(announced_work), config.MIN_WORK_SECONDS)
-        announced_mb = estimators.finite_or(max(request.memory_mb, 0.0), 0.0)
+        announced_mb = estimators.finite_or(max(request.estimated_memory_mb, 0.0), 0.0)
         self.memory_mb = self.stats.memory.expect(announced_mb)
-        if announced_mb and not context.settings.memory_heeded:
+        if announced_mb and not context.settings.engines_honor_memory:
             self.grant_mb = announced_mb * config.ANNOUNCED_MEMORY_MARGIN
         else:
             self.grant_mb = self.memory_mb * config.EXPECTED_MEMORY_MARGIN
@@ -59,7 +59,7 @@
         context.value_density.add(self.value, self.stats.work.mean.value)
         density = context.value_density.density(self.value, self.work)
         self.priority = sum(density >= least_density for least_density in config.PRIORITY_DENSITIES)
-        self.queue_key = (-self.value / self.work, context.now, request.request)
+        self.queue_key = (-self.value / self.work, context.now, request.request_id)
 
     def allows(self, entry: api.EngineEntry) -> bool:
         """Return whether the placement rules of its class allow an engine."""
@@ -69,16 +69,16 @@
 
     def is_safely_repeatable(self) -> bool:
         """Return whether another execution is harmless and can still answer it."""
-        return self.spec.repeat is api.Repeat.SAFE and not self.is_streaming and not self.is_finished
+        return self.spec.repeat is api.RepeatPolicy.SAFE and not self.is_streaming and not self.is_finished
 
     def first_executed(self) -> Attempt | None:
         """Return the first attempt that may have been executed."""
-        return next((attempt for attempt in self.attempts if attempt.result not in api.NEVER_RAN), None)
+        return next((attempt for attempt in self.attempts if attempt.result not in api.NEVER_EXECUTED), None)
 
     def is_repeat_forbidden(self, now: float) -> bool:
         """Return whether it may have been executed, and engines would not recognize a repetition."""
-        first = None if self.spec.repeat is api.Repeat.SAFE else self.first_executed()
-        window = self.spec.repeat_window if self.spec.repeat is api.Repeat.KEYED else -inf
+        first = None if self.spec.repeat is api.RepeatPolicy.SAFE else self.first_executed()
+        window = self.spec.repeat_window if self.spec.repeat is api.RepeatPolicy.KEYED else -inf
         return first is not None and now >= first.sent_at + window
 
     def final_answer_at(self, stall: float) -> float:
@@ -104,16 +104,16 @@
             config.SLOWDOWN_PRIOR, config.SCATTER_PRIOR, config.MAX_RATIO, config.MAX_EXPECTED_SLOWDOWN
         )
 
-    def learn(self, attempt: Attempt, event: api.Outcome, run_time: float) -> bool:
+    def learn(self, attempt: Attempt, event: api.AttemptOutcome, run_time: float) -> bool:
         """Learn from a completed attempt; return whether it met memory pressure."""
         pending = attempt.pending
         usual_slowdown = self.run_time.slowdown.value
-        used_work = event.work if event.work > 0 else pending.work
+        used_work = event.used_work if event.used_work > 0 else pending.work
         free_run_time = used_work / self.spec.threads
         slowdown = self.run_time.learn(pending.expected_run_time(), free_run_time, run_time)
-        self.work.learn(pending.request.work, event.work)
-        self.memory.learn(pending.request.memory_mb, event.memory_mb)
-        has_spilled = event.memory_mb > attempt.granted_mb > 0
+        self.work.learn(pending.request.estimated_work, event.used_work)
+        self.memory.learn(pending.request.estimated_memory_mb, event.used_memory_mb)
+        has_spilled = event.used_memory_mb > attempt.granted_mb > 0
         limit = config.SPILL_PRESSURE_SLOWDOWN if has_spilled else config.MEMORY_PRESSURE_SLOWDOWN
         met_pressure = attempt.met_memory_pressure or slowdown > usual_slowdown * limit
         self.memory_pressure_share.add(float(met_pressure))
@@ -151,24 +151,24 @@
     def runs_table_load(self, table_group: float) -> bool:
         """Return whether an own attempt on it loads a table group, which blocks the readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
-        return any(pending.spec.load and pending.request.tables == table_group for pending in requests)
+        return any(pending.spec.load and pending.request.table_group == table_group for pending in requests)
 
     def is_available(self) -> bool:
         """Return whether it may get an attempt; on probation it gets one at a time."""
-        is_ready = self.entry.state is api.State.READY and self.health.open_until <= self.context.now
+        is_ready = self.entry.state is api.EngineState.READY and self.health.open_until <= self.context.now
         return is_ready and not (self.health.on_probation and self.attempts.items)
 
     def capacity_share(self, now: float) -> float:
         """Return the share of its full capacity that it has; it grows to 1 during the warm-up."""
         settings = self.context.settings
-        age = now - self.entry.started
-        is_warm = self.entry.started <= 0 or age >= settings.warm_up * config.WARM_UP_MARGIN
+        age = now - self.entry.started_at
+        is_warm = self.entry.started_at <= 0 or age >= settings.warm_up * config.WARM_UP_MARGIN
         return 1.0 if is_warm else estimators.quadratic_ramp(age, settings.warm_up, settings.cold_share)
 
     def cold_budget_allows(self, work: float, now: float) -> bool:
         """Return whether it may get this much work (s); there is no limit after the warm-up."""
         capacity_share = self.capacity_share(now)
-        if self.entry.started <= 0 or capacity_share >= 1.0:
+        if self.entry.started_at <= 0 or capacity_share >= 1.0:
             return True
         settings = self.context.settings
         fleet_rate = settings.fall_multiple * capacity_share * self.cores * config.COLD_CAPACITY_FACTOR
@@ -199,4 +199,4 @@
 
     def ready_engines(self) -> list[Engine]:
         """Return the engines that are listed as ready, including ejected ones."""
-        return [engine for engine in self.engines.values() if engine.entry.state is api.State.READY]
+        return [engine for engine in self.engines.values() if engine.entry.state is api.EngineState.READY]
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -25,7 +25,7 @@
     is_last_resort: bool  # the request was tried there, or the engine is on probation
     zone_tier: int
     is_remote: bool  # not one of the preferred engines, or loaded beyond the limit
-    load: float
+    engine_load: float
     engine_id: int
 
 
@@ -45,8 +45,8 @@
 
     def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
         """Return the engines that a request may run on, in its order of preference."""
-        table_group = int(pending.request.tables * config.TABLE_GROUP_SCALE)
-        key = (table_group, pending.request.cls)
+        table_group = int(pending.request.table_group * config.TABLE_GROUP_SCALE)
+        key = (table_group, pending.request.class_index)
         order = self.engine_orders.get(key)
         return self.engine_orders.put(key, self._order(pending, table_group)) if order is None else order
 
@@ -58,8 +58,8 @@
         is_table_load = pending.spec.load
         order = [engine for engine in self._context.ready_engines() if pending.allows(engine.entry)]
         router = self._context.zone_router
-        tiers = {engine: router.tier(pending.request.cls, engine.entry.zone) for engine in order}
-        hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine) for engine in order}
+        tiers = {engine: router.zone_tier(pending.request.class_index, engine.entry.zone) for engine in order}
+        hashes = {engine: hashing.stable_hash(table_group, engine.entry.engine_id) for engine in order}
         sign = -1 if is_table_load else 1
         order.sort(key=lambda engine: (tiers[engine], sign * hashes[engine]))
         if order and self._context.settings.gateways > 1:
@@ -75,7 +75,7 @@
         """Return the engine that a request is sent to now; may send a probe, or eject a silent engine."""
         if not self._attempts.may_attempt(pending):
             return Route()
-        tried = {attempt.entry.engine for attempt in pending.attempts}
+        tried = {attempt.entry.engine_id for attempt in pending.attempts}
         is_short = pending.priority >= config.TOP_PRIORITY and not pending.waits_for_memory
         limit = self._load.thread_limits[pending.priority]
         first_choice_limit = min(limit, config.THREAD_LIMIT if is_short else config.AFFINITY_LOAD)
@@ -96,14 +96,14 @@
             idle_limit = config.LIMIT_TOLERANCE * added_load
             may_test_engine = is_short and pending.is_safely_repeatable()
             is_avoided = engine.health.on_probation and not may_test_engine
-            is_last_resort = engine.entry.engine in tried or is_avoided
+            is_last_resort = engine.entry.engine_id in tried or is_avoided
             if not is_last_resort and new_load <= max(first_choice_limit, idle_limit):
                 return Route(engine)
             fits = new_load <= max(limit, idle_limit)
             if fits or (is_short and load < config.OVERFULL_LOAD):
-                tier = self._context.zone_router.tier(pending.request.cls, engine.entry.zone)
+                tier = self._context.zone_router.zone_tier(pending.request.class_index, engine.entry.zone)
                 is_remote = position >= config.AFFINITY_ENGINES or not fits
-                candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine))
+                candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine_id))
         return self._select(candidates)
 
     def _is_blocked(self, pending: PendingRequest, engine: Engine) -> bool:
@@ -112,7 +112,7 @@
         if pending.waits_for_memory and self._load.free_memory(engine) < needed_mb:
             return True
         needs_tables = pending.spec.load or pending.spec.yields
-        return needs_tables and engine.runs_table_load(pending.request.tables)
+        return needs_tables and engine.runs_table_load(pending.request.table_group)
 
     def _select(self, candidates: list[Candidate]) -> Route:
         if not candidates:
@@ -150,7 +150,7 @@
                 continue
             is_late = now > pending.final_answer_at(stall)
             is_late = is_late or (pending.attempts and pending.is_repeat_forbidden(now))
-            run_time = pending.run_time * slowdowns[pending.request.cls]
+            run_time = pending.run_time * slowdowns[pending.request.class_index]
             time_left = min(pending.target_at, pending.deadline) - run_time - now
             route = not_tried
             if routed_count < config.MAX_ROUTED_REQUESTS and not is_late and self._attempts.has_turn(pending):
@@ -163,7 +163,7 @@
             misses_target = not is_exempt and work_ahead > max(0.0, time_left) * work_rate
             is_hopeless = misses_target and not route.may_open
             # The router is also asked for a late request: it notices by the call that time has passed.
-            is_rejected = is_hopeless or router.is_saturated(now, pending.request.cls, pending.work)
+            is_rejected = is_hopeless or router.is_saturated(now, pending.request.class_index, pending.work)
             if is_rejected or is_late or (time_left < 0 and not route.may_open):
                 self._attempts.reject_or_fail(pending)
             else:
@@ -174,7 +174,7 @@
     def _find_route_once(self, pending: PendingRequest, smallest_unroutable: dict) -> Route:
         """Return a route, without a search where a similar, smaller request found none in this pass."""
         is_comparable = not pending.attempts and not pending.waits_for_memory
-        key = (pending.request.cls, pending.request.tables, pending.priority)
+        key = (pending.request.class_index, pending.request.table_group, pending.priority)
         if is_comparable and pending.work >= smallest_unroutable.get(key, inf):
             return Route()  # engines only fill up during a pass
         route = self.find_route(pending)
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -67,7 +67,7 @@
 
     def reject(self) -> Rejected:
         """Return a rejection that is not a decision of the admission controller."""
-        return Rejected(self.settings.max_retry_after if self.settings.retry_after else 0.0)
+        return Rejected(self.settings.max_retry_after if self.settings.may_advise_retry_after else 0.0)
 
 
 @dataclass(slots=True)
@@ -76,13 +76,13 @@
 
     Attributes:
         index: Index among the attempts of the request, from 0.
-        engine: The engine's id.
+        engine_id: Id of its engine.
         sent_at: Time at which it was started, by the driver's clock.
         timeout_timer: Timer that cancels the attempt; None while it is being started.
     """
 
     index: int
-    engine: int
+    engine_id: int
     sent_at: float
     timeout_timer: asyncio.TimerHandle | None = None
 
@@ -133,25 +133,25 @@
 
     def _submit(self) -> None:
         request = self.request
-        time_to_live = self.time_remaining() - DEADLINE_MARGIN_SECONDS - self._driver.read_delay()
+        timeout = self.time_remaining() - DEADLINE_MARGIN_SECONDS - self._driver.read_delay()
         event = api.Request(
             self.number,
             request.class_index,
             request.tenant_index,
             request.order_key,
-            max(0.0, time_to_live),
+            max(0.0, timeout),
             request.estimated_work,
             request.estimated_memory_mb,
             request.table_group,
             request.is_client_retry,
-            request.order_unknown,
+            request.is_order_unknown,
         )
         self._driver.submit(event)
 
     def _handle_event(self, event: InboxEvent) -> Response | None:
         """Handle an event from the inbox; return the response if the event decides it."""
         match event:
-            case api.Terms(priority=priority):
+            case api.SetResources(priority=priority):
                 self._set_priority(priority)
             case api.Send():
                 self._send_attempt(event)
@@ -190,19 +190,19 @@
     def _send_attempt(self, send: api.Send) -> None:
         loop = asyncio.get_running_loop()
         pool = self._environment.pool
-        record = AttemptRecord(self.attempt_count, send.engine, self._driver.now())
+        record = AttemptRecord(self.attempt_count, send.engine_id, self._driver.now())
         self.attempt_count += 1
         timeout = min(send.timeout or inf, self.time_remaining())
         spec = self._attempt_spec(timeout, self._start_window(timeout, record.sent_at))
         on_end = partial(self._on_attempt_end, record)
-        attempt = pool.start_attempt(send.engine, spec, self.used_connections, on_end)
+        attempt = pool.start_attempt(send.engine_id, spec, self.used_connections, on_end)
         if attempt.connection is not None:
             # A late or repeated reply to this attempt would be taken for the reply to a later one on the same
             # connection.
             self.used_connections.add(attempt.connection)
         if not attempt.is_finished:
-            if send.announce:
-                self._environment.on_dispatch(send.engine, self._spec.threads)
+            if send.announce_to_peers:
+                self._environment.on_dispatch(send.engine_id, self._spec.threads)
             self.in_flight = attempt
             record.timeout_timer = loop.call_later(max(0.0, timeout), attempt.cancel, api.Result.TIMEOUT)
 
@@ -212,7 +212,7 @@
         Engines recognize a repeated request of a keyed class only within `repeat_window` of its first
         possible execution.
         """
-        if self._spec.repeat is not api.Repeat.KEYED:
+        if self._spec.repeat is not api.RepeatPolicy.KEYED:
             return timeout
         return min(timeout, self._possibly_executed_at + self._spec.repeat_window - now)
 
@@ -226,7 +226,7 @@
             deadline=now + timeout,
             start_before=now + start_window,
             priority=self._priority,
-            exclusive=self._spec.repeat is api.Repeat.UNSAFE,
+            exclusive=self._spec.repeat is api.RepeatPolicy.UNSAFE,
             is_client_gone=request.is_client_gone,
             idempotency_key=request.idempotency_key,
         )
@@ -239,12 +239,12 @@
         succeeded = isinstance(result, AttemptSucceeded)
         if succeeded:
             self._rows = result.rows
-        if result.result not in api.NEVER_RAN:
+        if result.result not in api.NEVER_EXECUTED:
             self._possibly_executed_at = min(self._possibly_executed_at, record.sent_at)
-        outcome = api.Outcome(
+        outcome = api.AttemptOutcome(
             self.number,
             record.index,
-            record.engine,
+            record.engine_id,
             result.result,
             self._driver.now() - record.sent_at,
             succeeded,
@@ -265,7 +265,7 @@
             # Ends at once as not executed if nothing of the attempt was written.
             self.in_flight.cancel(api.Result.CANCELLED)
         possibly_executed = self._possibly_executed_at < inf or self.in_flight is not None
-        if possibly_executed and self._spec.repeat is not api.Repeat.SAFE:
+        if possibly_executed and self._spec.repeat is not api.RepeatPolicy.SAFE:
             return self._completed_or(Failed())
         return self._completed_or(self._environment.reject())
 
@@ -278,7 +278,9 @@
             event = self.inbox.get_nowait()
             if isinstance(event, api.Send):
                 # The admission controller counts the attempt as in flight until it gets an outcome.
-                outcome = api.Outcome(self.number, self.attempt_count, event.engine, api.Result.MOOT)
+                outcome = api.AttemptOutcome(
+                    self.number, self.attempt_count, event.engine_id, api.Result.WITHDRAWN
+                )
                 self._driver.submit(outcome)
                 self.attempt_count += 1
         if self.in_flight is not None:
--- a/applevale/simulator_wire/encoder.py
+++ b/applevale/simulator_wire/encoder.py
@@ -53,62 +53,64 @@
 
 
 def _encode_send(action: api.Send) -> bytes:
-    return _encode_record(ActionCode.SEND, SEND.pack(action.request, _to_ns(action.timeout), action.engine))
+    return _encode_record(
+        ActionCode.SEND, SEND.pack(action.request_id, _to_ns(action.timeout), action.engine_id)
+    )
 
 
-def _encode_terms(action: api.Terms) -> bytes:
-    return _encode_record(ActionCode.TERMS, TERMS.pack(action.request, action.memory_mb, action.priority))
+def _encode_terms(action: api.SetResources) -> bytes:
+    return _encode_record(ActionCode.TERMS, TERMS.pack(action.request_id, action.memory_mb, action.priority))
 
 
 def _encode_reject(action: api.Reject) -> bytes:
-    return _encode_record(ActionCode.REJECT, REJECT.pack(action.request, _to_ns(action.retry_after)))
+    return _encode_record(ActionCode.REJECT, REJECT.pack(action.request_id, _to_ns(action.retry_after)))
 
 
 def _encode_fail(action: api.Fail) -> bytes:
-    return _encode_record(ActionCode.FAIL, REQUEST_ID.pack(action.request))
+    return _encode_record(ActionCode.FAIL, REQUEST_ID.pack(action.request_id))
 
 
 def _encode_cancel(action: api.Cancel) -> bytes:
-    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request, action.attempt))
+    return _encode_record(ActionCode.CANCEL, ATTEMPT_ID.pack(action.request_id, action.attempt_index))
 
 
 def _encode_probe(action: api.Probe) -> bytes:
-    return _encode_record(ActionCode.PROBE, ENGINE_ID.pack(action.engine))
+    return _encode_record(ActionCode.PROBE, ENGINE_ID.pack(action.engine_id))
 
 
 def _encode_set_timer(action: api.SetTimer) -> bytes:
-    return _encode_record(ActionCode.SET_TIMER, SET_TIMER.pack(_to_ns(action.after), action.token))
+    return _encode_record(ActionCode.SET_TIMER, SET_TIMER.pack(_to_ns(action.delay), action.token))
 
 
 def _encode_log(action: api.Log) -> bytes:
     return _encode_text(ActionCode.LOG, action.text)
 
 
-def _encode_subscribe(action: api.Subscribe) -> bytes:
+def _encode_subscribe(action: api.SubscribeToEngineList) -> bytes:
     return _encode_record(ActionCode.SUBSCRIBE, FLAG.pack(action.active))
 
 
-def _encode_fetch_list(action: api.FetchList) -> bytes:
+def _encode_fetch_list(action: api.FetchEngineList) -> bytes:
     return _encode_record(ActionCode.FETCH_LIST)
 
 
 def _encode_peer_message(action: api.SendPeerMessage) -> bytes:
     body = action.body[:MAX_PEER_MESSAGE_BYTES]
-    receiver = ALL_PEERS if action.peer is None else action.peer
-    return _encode_record(ActionCode.PEER_MESSAGE, PEER_MESSAGE_HEAD.pack(receiver, len(body)) + body)
+    recipient_id = ALL_PEERS if action.recipient_id is None else action.recipient_id
+    return _encode_record(ActionCode.PEER_MESSAGE, PEER_MESSAGE_HEAD.pack(recipient_id, len(body)) + body)
 
 
 _ENCODERS: dict[type, Callable[[Any], bytes]] = {
     api.Send: _encode_send,
-    api.Terms: _encode_terms,
+    api.SetResources: _encode_terms,
     api.Reject: _encode_reject,
     api.Fail: _encode_fail,
     api.Cancel: _encode_cancel,
     api.Probe: _encode_probe,
     api.SetTimer: _encode_set_timer,
     api.Log: _encode_log,
-    api.Subscribe: _encode_subscribe,
-    api.FetchList: _encode_fetch_list,
+    api.SubscribeToEngineList: _encode_subscribe,
+    api.FetchEngineList: _encode_fetch_list,
     api.SendPeerMessage: _encode_peer_message,
 }
 
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -23,13 +23,13 @@
         kinds=KINDS,
         gateways=1,
         may_cancel=True,
-        retry_after=True,
+        may_advise_retry_after=True,
         max_retry_after=2.0,
-        ranks_heeded=True,
-        tells_cost=True,
+        engines_honor_priority=True,
+        engines_report_cost=True,
         largest_share=0.4,
         report_columns=("waiting", "cpu", "disk_busy", "memory_used"),
-        report_how="answers",
+        load_report_mode="answers",
     )
     return api.Settings(**(base | changes))
 
@@ -56,16 +56,16 @@
         self.log = []
         self.ids = iter(range(1, MAX_REQUEST_ID))
         entries = entries or tuple(api.EngineEntry(engine) for engine in range(1, engines + 1))
-        self.handle(api.EngineList(entries, whole=True))
+        self.handle(api.EngineList(entries, is_full=True))
 
     def handle(self, *events) -> list:
-        """Handle a batch of events; return the actions except `SetTimer` and `Terms`."""
+        """Handle a batch of events; return the actions except `SetTimer` and `SetResources`."""
         actions = self.controller.handle(self.now, events)
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.after, action.token))
+                self.timers.append((self.now + action.delay, action.token))
             self.log.append((self.now, action))
-        return [action for action in actions if not isinstance(action, (api.SetTimer, api.Terms))]
+        return [action for action in actions if not isinstance(action, (api.SetTimer, api.SetResources))]
 
     def submit(
         self, class_index: int = 0, timeout: float = 0.0, work: float = 0.2, memory: float = 50.0, **fields
@@ -80,8 +80,15 @@
             **fields: Other fields of `api.Request`.
         """
         request_id = next(self.ids)
-        ttl = timeout or self.settings.classes[class_index].deadline
-        request = api.Request(request_id, class_index, ttl=ttl, work=work, memory_mb=memory, **fields)
+        timeout = timeout or self.settings.classes[class_index].deadline
+        request = api.Request(
+            request_id,
+            class_index,
+            timeout=timeout,
+            estimated_work=work,
+            estimated_memory_mb=memory,
+            **fields,
+        )
         return request_id, self.handle(request)
 
     def send_request(self, *arguments, **fields) -> api.Send:
@@ -106,19 +113,19 @@
             attempt: Index of the attempt among those of its request.
             work: Work that a completed attempt used, in core seconds.
             memory: Memory that a completed attempt used, in MB.
-            **fields: Other fields of `api.Outcome`.
+            **fields: Other fields of `api.AttemptOutcome`.
         """
         is_completed = result is api.Result.OK
-        final = fields.pop("final", is_completed)
+        is_final = fields.pop("is_final", is_completed)
         used_work = work if is_completed else 0.0
         used_memory = memory if is_completed else 0.0
-        outcome = api.Outcome(
-            send.request,
+        outcome = api.AttemptOutcome(
+            send.request_id,
             attempt,
-            send.engine,
+            send.engine_id,
             result,
             ATTEMPT_SECONDS,
-            final,
+            is_final,
             used_work,
             used_memory,
             **fields,
@@ -133,7 +140,7 @@
             due, token = min(self.timers)
             self.timers.remove((due, token))
             self.now = max(self.now, due)
-            actions += self.handle(api.Timer(token))
+            actions += self.handle(api.TimerFired(token))
         self.now = end
         return actions
 
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -11,8 +11,8 @@
 from applevale.observability.counters import Counters
 from applevale.policy.load_estimation import LoadEstimator
 
-READY = api.State.READY
-GONE = api.State.GONE
+READY = api.EngineState.READY
+GONE = api.EngineState.GONE
 
 
 def driver_with_engines(count=1000, **settings):
@@ -41,7 +41,7 @@
         sends = [
             send
             for group in range(20)
-            for send in actions_of(api.Send, driver.submit(0, tables=float(group))[1])
+            for send in actions_of(api.Send, driver.submit(0, table_group=float(group))[1])
         ]
         monkeypatch.setattr(LoadEstimator, "engine_load", engine_load)
         assert len(sends) == 20
@@ -51,13 +51,13 @@
 
 def test_no_request_is_lost_when_the_list_is_emptied_and_filled_again():
     driver = driver_with_engines()
-    first = actions_of(api.Send, driver.submit(0, tables=1.0)[1])[0]
-    driver.handle(api.EngineList((), whole=True))
-    waiting, actions = driver.submit(0, tables=1.0)
+    first = actions_of(api.Send, driver.submit(0, table_group=1.0)[1])[0]
+    driver.handle(api.EngineList((), is_full=True))
+    waiting, actions = driver.submit(0, table_group=1.0)
     assert not actions_of(api.Send, actions)
     driver.now += 0.1
-    actions = driver.handle(api.EngineList(tuple(api.EngineEntry(n) for n in range(1, 1001)), whole=True))
-    assert [send.request for send in actions_of(api.Send, actions)] == [waiting]
+    actions = driver.handle(api.EngineList(tuple(api.EngineEntry(n) for n in range(1, 1001)), is_full=True))
+    assert [send.request_id for send in actions_of(api.Send, actions)] == [waiting]
     driver.finish(first)
     driver.finish(actions_of(api.Send, actions)[0])
     assert not driver.controller.attempts.pending and len(driver.controller.engines) == 1000
@@ -71,7 +71,7 @@
     driver.handle(api.EngineList((api.EngineEntry(1, state=GONE),)))
     driver.handle(api.PeerLoadReport(1, (40.0,), 8))  # from a peer that still has the older list
     assert 1 not in driver.controller.engines
-    driver.handle(api.EngineList((api.EngineEntry(1, started=driver.now - 0.5),)))
+    driver.handle(api.EngineList((api.EngineEntry(1, started_at=driver.now - 0.5),)))
     driver.controller.load.start_batch()
     assert driver.controller.load.engine_load(driver.controller.engines[1]) < 2
     assert driver.controller.engines[1].capacity_share(driver.now) < 0.5
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -47,7 +47,7 @@
         driver.report_load(1, memory_used=0.95)
         later_actions += driver.run(0.1)
     rejections = actions_of(api.Reject, later_actions)
-    assert [rejection.request for rejection in rejections] == [request_id]
+    assert [rejection.request_id for rejection in rejections] == [request_id]
     assert rejections[0].retry_after > 0
     assert not actions_of(api.Send, later_actions)
 
@@ -71,16 +71,16 @@
 
 def test_a_timeout_of_zero_does_not_mean_the_deadline_of_the_class():
     driver = PolicyDriver()
-    request = api.Request(900, 0, ttl=0.0, work=0.2)
+    request = api.Request(900, 0, timeout=0.0, estimated_work=0.2)
     assert actions_of(api.Reject, driver.handle(request))
 
 
 def test_memory_is_granted_only_where_engines_honor_it():
     for is_honored in (True, False):
-        driver = PolicyDriver(memory_heeded=is_honored)
+        driver = PolicyDriver(engines_honor_memory=is_honored)
         driver.submit(1, memory=1000.0)
-        (terms,) = driver.logged(api.Terms)
-        assert (terms.memory_mb > 0) is is_honored
+        (resources,) = driver.logged(api.SetResources)
+        assert (resources.memory_mb > 0) is is_honored
 
 
 def test_light_values_do_not_hide_heavy_ones_in_a_decaying_mean():
@@ -95,7 +95,7 @@
 def test_requests_beyond_the_quota_of_their_tenant_have_a_low_value():
     tenants = (api.TenantSpec("a", 2.0), api.TenantSpec("b", 100.0))
     driver = PolicyDriver(tenants=tenants, over_share_worth=0.1)
-    request_ids = [driver.submit(tenant=0)[0] for _ in range(6)]
+    request_ids = [driver.submit(tenant_index=0)[0] for _ in range(6)]
     values = [driver.pending_request(request_id).value for request_id in request_ids]
     assert 1.0 in values
     assert values[-1] == pytest.approx(0.1)
--- a/tests/test_policy_cold_start.py
+++ b/tests/test_policy_cold_start.py
@@ -17,7 +17,7 @@
 
 def make_cold_driver(seed, gateways):
     """Return a driver with one engine that starts at START."""
-    entries = (api.EngineEntry(1, started=START),)
+    entries = (api.EngineEntry(1, started_at=START),)
     return PolicyDriver(entries=entries, seed=seed, gateways=gateways, **COLD_SETTINGS)
 
 
@@ -33,11 +33,11 @@
         driver.now += random.random() * gateways / 100.0
         while driver.now < END:
             work = random.lognormvariate(-2.0, 1.3)
-            request_id, actions = driver.submit(work=work, tables=1.0)
+            request_id, actions = driver.submit(work=work, table_group=1.0)
             works[request_id] = work
             for send in actions_of(api.Send, actions):
-                sent.append((driver.now, works[send.request]))
-                driver.finish(send, work=works[send.request])
+                sent.append((driver.now, works[send.request_id]))
+                driver.finish(send, work=works[send.request_id])
             driver.now += random.expovariate(100.0 / gateways)
     assert sent
     for start, _ in sent:
@@ -55,7 +55,7 @@
         driver = make_cold_driver(seed, gateways=40)
         driver.handle(api.FleetSize(instance_count))
         while driver.now < END:
-            _, actions = driver.submit(work=0.05, tables=1.0)
+            _, actions = driver.submit(work=0.05, table_group=1.0)
             for send in actions_of(api.Send, actions):
                 count += 1
                 driver.finish(send, work=0.05)
--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -8,7 +8,7 @@
 from applevale import api
 
 Result = api.Result
-UNSAFE = replace(LOOKUP, repeat=api.Repeat.UNSAFE)
+UNSAFE = replace(LOOKUP, repeat=api.RepeatPolicy.UNSAFE)
 
 
 def test_an_unsafe_request_that_may_have_been_executed_fails_without_a_retry():
@@ -25,19 +25,19 @@
     first = driver.send_request()
     retries = actions_of(api.Send, driver.finish(first, Result.CONNECT_FAILED))
     assert retries
-    assert retries[0].engine != first.engine
+    assert retries[0].engine_id != first.engine_id
 
 
 @pytest.mark.parametrize("group", ["zone", "cell"])
 def test_a_keyed_request_is_retried_only_in_its_repeat_group_and_window(group):
-    keyed = replace(LOOKUP, repeat=api.Repeat.KEYED, group=group, repeat_window=1.0)
+    keyed = replace(LOOKUP, repeat=api.RepeatPolicy.KEYED, repeat_group=group, repeat_window=1.0)
     entries = tuple(api.EngineEntry(engine, zone=engine % 2, cell=engine % 2) for engine in range(1, 7))
     driver = PolicyDriver(classes=(keyed,), entries=entries)
     first = driver.send_request()
     driver.now += 0.3
     retries = actions_of(api.Send, driver.finish(first, Result.RESET))
     assert retries
-    assert retries[0].engine % 2 == first.engine % 2
+    assert retries[0].engine_id % 2 == first.engine_id % 2
     driver.now += 0.8
     actions = driver.finish(retries[0], Result.RESET, attempt=1)
     assert not actions_of(api.Send, actions)
@@ -49,10 +49,10 @@
 def test_a_request_is_answered_when_its_repeat_window_ends(group, answer):
     """It must not wait until its deadline, since it cannot have another attempt."""
     keyed = api.ClassSpec(
-        "post", aim=3.0, deadline=20.0, repeat=api.Repeat.KEYED, group=group, repeat_window=0.5
+        "post", aim=3.0, deadline=20.0, repeat=api.RepeatPolicy.KEYED, repeat_group=group, repeat_window=0.5
     )
     ready = (api.EngineEntry(1, cell=1), api.EngineEntry(2, cell=2))
-    draining = tuple(replace(entry, state=api.State.DRAINING) for entry in ready)
+    draining = tuple(replace(entry, state=api.EngineState.DRAINING) for entry in ready)
     driver = PolicyDriver(entries=ready, classes=(keyed,))
     _, actions = driver.submit()
     (send,) = actions_of(api.Send, actions)
@@ -65,7 +65,7 @@
 
 def test_retries_stay_within_the_budget():
     driver = PolicyDriver(engines=6, budget_share=0.1, budget_free=1.0, budget_span=5.0, try_limit=5)
-    sends = [driver.send_request(tables=float(group)) for group in range(10)]
+    sends = [driver.send_request(table_group=float(group)) for group in range(10)]
     retry_count = sum(len(actions_of(api.Send, driver.finish(send, Result.ERROR))) for send in sends)
     assert 1 <= retry_count <= 2
 
@@ -90,23 +90,23 @@
             driver.finish(send, work=0.1 * scale)
         lost = driver.send_request(work=0.1 * scale)
         cancels = actions_of(api.Cancel, driver.run(0.75 * scale))
-        assert [cancel.request for cancel in cancels] == [lost.request]
+        assert [cancel.request_id for cancel in cancels] == [lost.request_id]
 
 
 def test_attempts_on_a_silent_engine_are_cancelled_and_retried_on_another_one():
     driver = PolicyDriver(engines=3)
-    silent = driver.send_request(tables=1.0)
+    silent = driver.send_request(table_group=1.0)
     cancels = []
     for step in range(40):
         driver.now += 0.1
-        _, actions = driver.submit(tables=float(step % 5))
+        _, actions = driver.submit(table_group=float(step % 5))
         for send in actions_of(api.Send, actions):
-            if send.engine != silent.engine:
+            if send.engine_id != silent.engine_id:
                 driver.finish(send)
         cancels += actions_of(api.Cancel, driver.run(0.0))
-    assert (silent.request, 0) in [(cancel.request, cancel.attempt) for cancel in cancels]
+    assert (silent.request_id, 0) in [(cancel.request_id, cancel.attempt_index) for cancel in cancels]
     retries = actions_of(api.Send, driver.finish(silent, Result.CANCELLED))
-    assert all(retry.engine != silent.engine for retry in retries)
+    assert all(retry.engine_id != silent.engine_id for retry in retries)
 
 
 def test_attempts_become_overdue_later_with_scattered_run_times_and_with_each_attempt():
@@ -124,8 +124,8 @@
 def test_an_attempt_with_little_progress_is_cancelled_before_it_is_overdue():
     driver = PolicyDriver(progress=0.5)
     request_id, _ = driver.submit(1, work=3.0)
-    engine = driver.pending_request(request_id).attempts[0].entry.engine
+    engine = driver.pending_request(request_id).attempts[0].entry.engine_id
     driver.run(0.7)
-    assert not driver.handle(api.Note(request_id, 0, engine, api.NoteKind.PROGRESS, 0.5))
-    actions = driver.handle(api.Note(request_id, 0, engine, api.NoteKind.PROGRESS, 0.01))
+    assert not driver.handle(api.AttemptUpdate(request_id, 0, engine, api.AttemptUpdateKind.PROGRESS, 0.5))
+    actions = driver.handle(api.AttemptUpdate(request_id, 0, engine, api.AttemptUpdateKind.PROGRESS, 0.01))
     assert actions_of(api.Cancel, actions)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -14,24 +14,45 @@
     LOOKUP,
     REPORT,
     api.ClassSpec(
-        "load", aim=2.0, deadline=6.0, worth=4.0, repeat=api.Repeat.UNSAFE, ordered=True, threads=2, load=True
+        "load",
+        aim=2.0,
+        deadline=6.0,
+        worth=4.0,
+        repeat=api.RepeatPolicy.UNSAFE,
+        is_ordered=True,
+        threads=2,
+        load=True,
+    ),
+    api.ClassSpec(
+        "keyed", aim=1.0, deadline=4.0, repeat=api.RepeatPolicy.KEYED, repeat_group="zone", repeat_window=1.5
     ),
-    api.ClassSpec("keyed", aim=1.0, deadline=4.0, repeat=api.Repeat.KEYED, group="zone", repeat_window=1.5),
     api.ClassSpec("bound", aim=1.0, deadline=4.0, kinds=frozenset({1}), zones=frozenset({0, 1})),
 )
 SETTINGS = (
     dict(),
-    dict(may_cancel=False, try_limit=3, when_short="wait", report_columns=("cpu",), report_how="probe"),
-    dict(budget_share=0.1, budget_free=3.0, parallel_tries=True, progress=0.5, order_pause=0.3),
+    dict(
+        may_cancel=False,
+        try_limit=3,
+        memory_shortage_mode="wait",
+        report_columns=("cpu",),
+        load_report_mode="probe",
+    ),
+    dict(budget_share=0.1, budget_free=3.0, allows_parallel_attempts=True, progress=0.5, order_pause=0.3),
     dict(
         gateways=3,
         discovery_push=False,
-        ranks_heeded=False,
-        retry_after=False,
+        engines_honor_priority=False,
+        may_advise_retry_after=False,
         report_columns=(),
-        report_how="none",
+        load_report_mode="none",
+    ),
+    dict(
+        gateways=300,
+        may_probe=True,
+        report_columns=("active",),
+        load_report_mode="probe",
+        may_message_peers=True,
     ),
-    dict(gateways=300, may_probe=True, report_columns=("active",), report_how="probe", may_tell_peers=True),
     dict(gateways=60, may_probe=True, may_cancel=False, budget_share=0.0, budget_free=2.0),
 )
 
@@ -78,7 +99,7 @@
             api.EngineEntry(engine, zone=engine % 3, kind=engine % 2, cell=engine % 2)
             for engine in range(1, 9)
         ]
-        self.handle(api.EngineList(tuple(self.entries), whole=True))
+        self.handle(api.EngineList(tuple(self.entries), is_full=True))
 
     def handle(self, event):
         """Handle an event, and check the actions."""
@@ -88,7 +109,7 @@
                 self.checker.on_entry(now, entry)
         elif isinstance(event, api.Request):
             self.checker.on_request(now, event)
-        elif isinstance(event, api.Outcome):
+        elif isinstance(event, api.AttemptOutcome):
             self.checker.on_outcome(now, event)
         start = len(self.driver.log)
         self.driver.handle(event)
@@ -106,24 +127,24 @@
             self.checker.on_action(now, action)
             if isinstance(action, api.Probe) and self.random.random() < 0.9:  # some are never answered
                 delay = self.random.choice([0.005, 0.02, 0.25])
-                self.probes.append(ProbeInFlight(now + delay, action.engine))
+                self.probes.append(ProbeInFlight(now + delay, action.engine_id))
             if isinstance(action, api.Send):
                 self._begin_attempt(now, action)
             elif isinstance(action, api.Cancel):
                 self._cancel_attempt(now, action)
 
     def _begin_attempt(self, now, send):
-        arrived_at, request = self.checker.requests[send.request]
-        limit = min(now + (send.timeout or 99.0), arrived_at + request.ttl)
+        arrived_at, request = self.checker.requests[send.request_id]
+        limit = min(now + (send.timeout or 99.0), arrived_at + request.timeout)
         duration = self.random.expovariate(3.0) * (100.0 if self.random.random() < 0.08 else 1.0)
         ends_at = now + duration
-        attempt = len(self.checker.attempts[send.request]) - 1
+        attempt = len(self.checker.attempts[send.request_id]) - 1
         result = None if ends_at < limit else Result.TIMEOUT
         self.attempts.append(AttemptInFlight(min(ends_at, limit), send, attempt, result))
 
     def _cancel_attempt(self, now, cancel):
         for attempt in self.attempts:
-            if attempt.send.request == cancel.request and attempt.attempt == cancel.attempt:
+            if attempt.send.request_id == cancel.request_id and attempt.attempt == cancel.attempt_index:
                 attempt.ends_at = now + CANCEL_SECONDS
                 attempt.result = Result.CANCELLED
 
@@ -137,15 +158,17 @@
         """End the attempts that are due; `weight_of_ok` is the weight of success among the results."""
         for item in self.take_due(self.attempts):
             result = item.result or self._draw_result(weight_of_ok)
-            request_id = item.send.request
+            request_id = item.send.request_id
             final = request_id in self.checker.ended_at or result is Result.OK
             self.checker.ended_at.pop(request_id, None)
             report = tuple(self.random.choice([0.5, -1.0, 1e9]) for _ in self.driver.settings.report_columns)
-            engine = item.send.engine
-            self.handle(api.Outcome(request_id, item.attempt, engine, result, 0.2, final, 0.2, 60.0, report))
+            engine = item.send.engine_id
+            self.handle(
+                api.AttemptOutcome(request_id, item.attempt, engine, result, 0.2, final, 0.2, 60.0, report)
+            )
 
     def _draw_result(self, weight_of_ok):
-        results = [Result.OK, Result.ERROR, Result.FULL, Result.CONNECT_FAILED, Result.RESET]
+        results = [Result.OK, Result.ERROR, Result.REJECTED, Result.CONNECT_FAILED, Result.RESET]
         return self.random.choices(results, [weight_of_ok, 1, 0.5, 0.5, 0.5])[0]
 
     def end_probes(self):
@@ -154,7 +177,7 @@
             columns = self.driver.settings.report_columns
             values = tuple(self.random.choice([0.5, 3.0, -1.0, 1e9]) for _ in columns)
             result = self.random.choice(
-                [Result.OK, Result.OK, Result.OK, Result.FULL, Result.TIMEOUT, Result.ERROR]
+                [Result.OK, Result.OK, Result.OK, Result.REJECTED, Result.TIMEOUT, Result.ERROR]
             )
             report = values if self.random.random() < 0.9 else values[1:]
             self.handle(api.ProbeResult(item.engine, result, 0.01, report))
@@ -180,20 +203,22 @@
             api.Request(
                 request_id,
                 class_index,
-                key=self.random.randrange(3),
-                ttl=timeout,
-                work=self.random.expovariate(2.0),
-                memory_mb=self.random.expovariate(0.002),
-                tables=float(self.random.randrange(12)),
+                order_key=self.random.randrange(3),
+                timeout=timeout,
+                estimated_work=self.random.expovariate(2.0),
+                estimated_memory_mb=self.random.expovariate(0.002),
+                table_group=float(self.random.randrange(12)),
             )
         )
 
     def change_entry(self):
         """Change the state of a random engine."""
         entry = self.random.choice(self.entries)
-        state = self.random.choice([api.State.READY, api.State.READY, api.State.DRAINING, api.State.GONE])
+        state = self.random.choice(
+            [api.EngineState.READY, api.EngineState.READY, api.EngineState.DRAINING, api.EngineState.GONE]
+        )
         started = self.driver.now - 0.5 * self.random.random()
-        changed = api.EngineEntry(entry.engine, entry.zone, entry.kind, entry.cell, 1.0, state, started)
+        changed = api.EngineEntry(entry.engine_id, entry.zone, entry.kind, entry.cell, 1.0, state, started)
         self.handle(api.EngineList((changed,)))
 
     def run_loaded_step(self, step):
@@ -222,11 +247,11 @@
         self.driver.now += STEP_SECONDS
         self.fire_timers()
         for item in self.take_due(self.attempts):
-            request_id = item.send.request
+            request_id = item.send.request_id
             final = request_id in self.checker.ended_at
             self.checker.ended_at.pop(request_id, None)
             result = item.result or Result.TIMEOUT
-            self.handle(api.Outcome(request_id, item.attempt, item.send.engine, result, 0.2, final))
+            self.handle(api.AttemptOutcome(request_id, item.attempt, item.send.engine_id, result, 0.2, final))
 
 
 @pytest.mark.parametrize("seed", range(18))
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -209,7 +209,7 @@
 def test_a_registry_record_is_read(record_format):
     names = AttributeNames(("north", "south"), ("small", "large"))
     endpoint = read_record(STORED[f"registry_record_{record_format}"].encode(), names)
-    expected_entry = api.EngineEntry(0xC41F7A, 1, 1, 3, 2.5, api.State.DRAINING, 1764652800.5)
+    expected_entry = api.EngineEntry(0xC41F7A, 1, 1, 3, 2.5, api.EngineState.DRAINING, 1764652800.5)
     assert (endpoint.entry, endpoint.address) == (expected_entry, ("10.0.0.9", 7109))
 
 
@@ -219,7 +219,7 @@
 
 def test_a_load_report_datagram_is_read():
     events = make_load_reports().receive(11.0, bytes.fromhex(STORED["load_reports"]))
-    assert [(event.engine, event.report, event.threads) for event in events] == [
+    assert [(event.engine_id, event.load_report, event.sent_threads) for event in events] == [
         (0x00000001, (), 5),
         (0x00000001, (3.0, 1.0, -1.0, -1.0, 0.75), 0),
         (0x00C41F7A, (254.0, 0.0, -1.0, -1.0, -1.0), 0),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -49,12 +49,12 @@
         "82020000000300 1e30000000 c4913a5d92aa0c00 0000 00000000 640ad2557c3bf091 001c4e0e00000000"
         "001bb70000000000 0000c043 00003041 0100"
     )
-    assert event.cls == 0
-    assert event.key == 0x91F03B7C55D20A64
-    assert event.memory_mb == 384.0
-    assert event.ttl == pytest.approx(0.24)
-    assert event.work == pytest.approx(0.012)
-    assert event.tables == 11.0
+    assert event.class_index == 0
+    assert event.order_key == 0x91F03B7C55D20A64
+    assert event.estimated_memory_mb == 384.0
+    assert event.timeout == pytest.approx(0.24)
+    assert event.estimated_work == pytest.approx(0.012)
+    assert event.table_group == 11.0
 
 
 def test_the_outcome_of_an_attempt_is_decoded():
@@ -63,11 +63,11 @@
         "04 0000404052b81e3f0000a03fcdcccc3e"
     )
     assert event.result is api.Result.OK
-    assert event.final
-    assert event.engine == 0x03124A07
-    assert event.work == pytest.approx(0.017)
-    assert event.memory_mb == 0x60 * 4
-    assert event.report == pytest.approx((3.0, 0.62, 1.25, 0.4))
+    assert event.is_final
+    assert event.engine_id == 0x03124A07
+    assert event.used_work == pytest.approx(0.017)
+    assert event.used_memory_mb == 0x60 * 4
+    assert event.load_report == pytest.approx((3.0, 0.62, 1.25, 0.4))
 
 
 def test_all_other_events_are_decoded():
@@ -82,16 +82,16 @@
         "6400000000"
     )
     engine_list, note, probe, timer, client_gone, peer_message, shutdown = events
-    assert engine_list.whole
-    assert [entry.engine for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
+    assert engine_list.is_full
+    assert [entry.engine_id for entry in engine_list.entries] == [0x03124A07, 0x2C9011F2]
     assert engine_list.entries[1].size == 1.5
-    assert engine_list.entries[1].started == pytest.approx(6.1)
-    assert note.kind is api.NoteKind.PROGRESS
+    assert engine_list.entries[1].started_at == pytest.approx(6.1)
+    assert note.kind is api.AttemptUpdateKind.PROGRESS
     assert note.value == 0.5
-    assert probe.engine == 0x2C9011F2
-    assert len(probe.report) == 4
+    assert probe.engine_id == 0x2C9011F2
+    assert len(probe.load_report) == 4
     assert timer.token == 77
-    assert client_gone.request == 0x030E310E6F2B19
+    assert client_gone.request_id == 0x030E310E6F2B19
     assert peer_message == api.PeerMessage(2, b"hi 7")
     assert isinstance(shutdown, decoder.Shutdown)
 
@@ -107,11 +107,11 @@
         (api.Log("two servers known"), "5a13000000 1100 74776f2073657276657273206b6e6f776e"),
         (api.Probe(0x2C9011F2), "3c04000000 f211902c"),
         (api.Cancel(0x0CAA925D3A91C4, 0), "2809000000 c4913a5d92aa0c00 00"),
-        (api.Subscribe(), "6e01000000 01"),
-        (api.FetchList(), "7800000000"),
+        (api.SubscribeToEngineList(), "6e01000000 01"),
+        (api.FetchEngineList(), "7800000000"),
         (api.Fail(0x0CAA925D3A91C4), "1e08000000 c4913a5d92aa0c00"),
         (api.SendPeerMessage(None, b"hi 7"), "500a000000 ffffffff 0400 68692037"),
-        (api.Terms(0x0CAA925D3A91C4, 2, 640.0), "820d000000 c4913a5d92aa0c00 00002044 02"),
+        (api.SetResources(0x0CAA925D3A91C4, 2, 640.0), "820d000000 c4913a5d92aa0c00 00002044 02"),
     ],
 )
 def test_an_action_is_encoded(action, text):
@@ -122,7 +122,7 @@
     settings = read_settings(SETTINGS)
     assert settings.classes[0].kinds is None
     assert settings.classes[1].kinds == frozenset({0})
-    assert settings.classes[1].ordered
+    assert settings.classes[1].is_ordered
     assert settings.classes[1].threads == 3
     assert settings.kinds[1].cores == 12
     assert settings.budget_share == 0.1
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -158,11 +158,11 @@
         self.router = ZoneRouter(zones, ZONE_NAMES, CLASS_NAMES, home)
         self.controller = AdmissionController(self.settings, 1, self.router)
         self.entries = entries or engine_entries()
-        self.handle(api.EngineList(self.entries, whole=True))
+        self.handle(api.EngineList(self.entries, is_full=True))
 
     def zone(self, send):
         """Return the zone of the engine to which a request is sent."""
-        return next(entry.zone for entry in self.entries if entry.engine == send.engine)
+        return next(entry.zone for entry in self.entries if entry.engine_id == send.engine_id)
 
     def lose(self, zone):
         """Report so many failed attempts that the zone is lost."""
@@ -174,7 +174,7 @@
 def test_work_stays_in_the_home_zone_while_it_has_capacity():
     driver = ZoneDriver()
     for group in range(40):
-        for send in actions_of(api.Send, driver.submit(tables=float(group))[1]):
+        for send in actions_of(api.Send, driver.submit(table_group=float(group))[1]):
             assert driver.zone(send) == 0
             driver.finish(send)
 
@@ -185,7 +185,7 @@
     sent_by_zone = {1: [], 2: []}
     for group in range(190):  # 1.9 s, within the cooldown of 2 s.
         driver.run(0.01)
-        for send in actions_of(api.Send, driver.submit(tables=float(group), work=0.3)[1]):
+        for send in actions_of(api.Send, driver.submit(table_group=float(group), work=0.3)[1]):
             sent_by_zone[driver.zone(send)].append((driver.now, 0.3))
             driver.finish(send, work=0.3)
     max_work_per_second = {
@@ -215,13 +215,19 @@
     driver.lose(0)
     request_ids = iter(range(10_000, 20_000))
     requests = [
-        api.Request(next(request_ids), cls=number % 2 * 2, ttl=4.0, work=1.0, tables=float(number))
+        api.Request(
+            next(request_ids),
+            class_index=number % 2 * 2,
+            timeout=4.0,
+            estimated_work=1.0,
+            table_group=float(number),
+        )
         for number in range(200)
     ]
     actions = driver.handle(*requests)
-    sent = [send.request for send in actions_of(api.Send, actions)]
+    sent = [send.request_id for send in actions_of(api.Send, actions)]
     rejections = actions_of(api.Reject, actions)
-    classes = {request.request: request.cls for request in requests}
+    classes = {request.request_id: request.class_index for request in requests}
     assert sent and all(classes[request_id] == 0 for request_id in sent)
     assert len(rejections) > 100 and all(rejection.retry_after > 0 for rejection in rejections)
 
@@ -231,14 +237,18 @@
     driver.lose(0)
     driver.run(2.1)
     sends = [
-        send for group in range(10) for send in actions_of(api.Send, driver.submit(tables=float(group))[1])
+        send
+        for group in range(10)
+        for send in actions_of(api.Send, driver.submit(table_group=float(group))[1])
     ]
     assert sum(driver.zone(send) == 0 for send in sends) == 1
     trial_send = next(send for send in sends if driver.zone(send) == 0)
     for _ in range(3):
         driver.finish(trial_send)
         sends = [
-            send for group in range(4) for send in actions_of(api.Send, driver.submit(tables=float(group))[1])
+            send
+            for group in range(4)
+            for send in actions_of(api.Send, driver.submit(table_group=float(group))[1])
         ]
         trial_send = next((send for send in sends if driver.zone(send) == 0), trial_send)
     recovery = driver.router.zones[0].recovery
@@ -247,7 +257,7 @@
     sent = []
     while driver.now < ramp_start + 9.0:
         driver.run(0.02)
-        for send in actions_of(api.Send, driver.submit(tables=driver.now, work=0.4)[1]):
+        for send in actions_of(api.Send, driver.submit(table_group=driver.now, work=0.4)[1]):
             if driver.zone(send) == 0:
                 sent.append((driver.now, 0.4))
             driver.finish(send, work=0.4)
@@ -261,16 +271,18 @@
     driver = ZoneDriver()
     send = actions_of(api.Send, driver.submit()[1])[0]
     assert driver.zone(send) == 0
-    drained = tuple(replace(entry, state=api.State.DRAINING) for entry in driver.entries if entry.zone == 0)
+    drained = tuple(
+        replace(entry, state=api.EngineState.DRAINING) for entry in driver.entries if entry.zone == 0
+    )
     driver.handle(api.EngineList(drained))
     assert driver.router.zones[0].recovery.phase is RecoveryPhase.LOST
     assert driver.zone(actions_of(api.Send, driver.submit()[1])[0]) == 1
     assert not actions_of(api.Fail, driver.finish(send))  # The attempt that was in flight there completes.
-    returned = tuple(replace(entry, started=driver.now) for entry in driver.entries if entry.zone == 0)
+    returned = tuple(replace(entry, started_at=driver.now) for entry in driver.entries if entry.zone == 0)
     driver.handle(api.EngineList(returned))
     assert driver.zone(actions_of(api.Send, driver.submit()[1])[0]) == 1
     driver.run(2.1)
-    assert driver.router.may_take(driver.now, 0, 0, 0.2)
+    assert driver.router.can_accept_work(driver.now, 0, 0, 0.2)
     assert driver.router.zones[0].recovery.phase is RecoveryPhase.TRIAL
 
 
@@ -284,9 +296,9 @@
 
 def test_the_default_router_does_not_distinguish_zones():
     router = api.Router()
-    assert router.may_take(0.0, 0, 5, 1e9)
+    assert router.can_accept_work(0.0, 0, 5, 1e9)
     assert router.available_rate(0.0, 3.0) == 3.0
-    assert router.tier(0, 5) == 0
+    assert router.zone_tier(0, 5) == 0
 
 
 @pytest.mark.parametrize(
