--- a/applevale/config/sections.py
+++ b/applevale/config/sections.py
@@ -32,14 +32,14 @@
     """Return the addresses for datagrams between instances, or None without `peer_listen`."""
     if raw.get("peer_listen") is None:
         return None
-    each = raw.get("peers", [])
-    if not isinstance(each, list):
-        raise ConfigError(f"peers: a list of HOST:PORT is needed, not {each!r}")
-    everyone = raw.get("peers_all")
+    peers = raw.get("peers", [])
+    if not isinstance(peers, list):
+        raise ConfigError(f"peers: a list of HOST:PORT is needed, not {peers!r}")
+    broadcast = raw.get("peers_all")
     return PeerAddresses(
         read_address(raw["peer_listen"], "peer_listen"),
-        tuple(read_address(peer, f"peers[{index}]") for index, peer in enumerate(each)),
-        None if everyone is None else read_address(everyone, "peers_all"),
+        tuple(read_address(peer, f"peers[{index}]") for index, peer in enumerate(peers)),
+        None if broadcast is None else read_address(broadcast, "peers_all"),
     )
 
 
@@ -119,13 +119,13 @@
         return None
     section = read_section(raw, "membership")
     reject_unknown_keys(section, "membership", "probe")
-    if peers is None or not MIN_MEMBERS <= len(peers.each) <= MAX_MEMBERS:
+    if peers is None or not MIN_MEMBERS <= len(peers.instances) <= MAX_MEMBERS:
         raise ConfigError(
             f"membership: peer_listen and the addresses of {MIN_MEMBERS} to {MAX_MEMBERS} peers are needed"
         )
-    if me >= len(peers.each):
+    if me >= len(peers.instances):
         raise ConfigError(
-            f"settings.me: {me} is none of the {len(peers.each)} peers; it must be the index of one"
+            f"settings.me: {me} is none of the {len(peers.instances)} peers; it must be the index of one"
         )
     return read_number(section, "probe", DEFAULT_PROBE_INTERVAL_SECONDS, MIN_PROBE_INTERVAL_SECONDS)
 
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -111,7 +111,7 @@
             self._schedule_batch()
         self.event_queue.add(event)
 
-    def submit_gossip(self, report: api.PeerLoadReport) -> None:
+    def submit_load_report(self, report: api.PeerLoadReport) -> None:
         """Add a peer's load report to the next batch, without scheduling one."""
         self.event_queue.add_load_report(report)
 
--- a/applevale/gossip/exchange.py
+++ b/applevale/gossip/exchange.py
@@ -48,7 +48,7 @@
         if self.timer is None and self.reports.has_pending():
             self.timer = asyncio.get_running_loop().call_later(REPORT_DELAY_SECONDS, self._send)
 
-    def on_dispatch(self, engine: int, threads: int) -> None:
+    def on_attempt_sent(self, engine: int, threads: int) -> None:
         """Share that an attempt was sent to an engine."""
         if self.reports.record_dispatch(engine, threads):
             self._send()
@@ -58,7 +58,7 @@
             self.timer.cancel()
             self.timer = None
         data = self.reports.next_datagram()
-        if data is not None and self.datagrams.send(data, self.datagrams.addresses.everyone):
+        if data is not None and self.datagrams.send(data, self.datagrams.addresses.broadcast):
             self.counters["news_told"] += 1
             self.counters["news_bytes"] += len(data)
 
@@ -80,8 +80,8 @@
         try:
             events = self.reports.receive(self.driver.now(), data)
         except LoadReportError as error:
-            self.datagrams.reject(self.datagrams.addresses.each[sender], str(error))
+            self.datagrams.reject(self.datagrams.addresses.instances[sender], str(error))
             return
         self.counters["news_heard"] += 1
         for event in events:
-            self.driver.submit_gossip(event)
+            self.driver.submit_load_report(event)
--- a/applevale/membership/runner.py
+++ b/applevale/membership/runner.py
@@ -89,7 +89,7 @@
         try:
             message = codec.decode(data)
         except codec.MalformedDatagramError as error:
-            self._datagrams.reject(self._datagrams.addresses.each[sender], str(error))
+            self._datagrams.reject(self._datagrams.addresses.instances[sender], str(error))
             return
         self._execute(self._protocol.on_message(self.clock(), sender, message))
 
@@ -100,7 +100,7 @@
         for command in commands:
             match command:
                 case SendMessage(target=target, message=message):
-                    self._datagrams.send(codec.encode(message), self._datagrams.addresses.each[target])
+                    self._datagrams.send(codec.encode(message), self._datagrams.addresses.instances[target])
                 case ViewChanged(changes=changes):
                     self._announce_changes(changes)
                 case StatusChanged(status=status):
--- a/applevale/net/addresses.py
+++ b/applevale/net/addresses.py
@@ -19,10 +19,10 @@
 
     Attributes:
         listen: Address that this instance binds.
-        each: Addresses of all instances, in the order of their numbers.
-        everyone: Address at which one datagram reaches all instances; None if there is none.
+        instances: Addresses of all instances, in the order of their numbers.
+        broadcast: Address at which one datagram reaches all instances; None if there is none.
     """
 
     listen: Address
-    each: tuple[Address, ...]
-    everyone: Address | None
+    instances: tuple[Address, ...]
+    broadcast: Address | None
--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -28,17 +28,17 @@
     """
 
     def __init__(
-        self, addresses: PeerAddresses, instance_number: int, counters: Counters, shared: bool = False
+        self, addresses: PeerAddresses, instance_number: int, counters: Counters, reuse_address: bool = False
     ):
         """Create the socket of an instance and bind it.
 
         Args:
             addresses: The addresses of all instances; the socket is bound to `listen`.
-            instance_number: Number of this instance, an index into `addresses.each`. If it is past the end,
-                the address of this instance is `addresses.listen`.
+            instance_number: Number of this instance, an index into `addresses.instances`. If it is past the
+                end, the address of this instance is `addresses.listen`.
             counters: Counters of rejected datagrams.
-            shared: Whether a second process of this instance may bind the same address, and then receives
-                all datagrams.
+            reuse_address: Whether a second process of this instance may bind the same address, and then
+                receives all datagrams.
 
         Raises:
             OSError: The address cannot be bound.
@@ -46,14 +46,16 @@
         self.addresses = addresses
         self.counters = counters
         self.handlers: dict[int, DatagramHandler] = {}
-        is_listed = instance_number < len(addresses.each)
+        is_listed = instance_number < len(addresses.instances)
         # Datagrams from this address are ignored: one that is sent to all instances also reaches the sender.
-        self.own_address = addresses.each[instance_number] if is_listed else addresses.listen
+        self.own_address = addresses.instances[instance_number] if is_listed else addresses.listen
         self.peer_numbers = {
-            address: number for number, address in enumerate(addresses.each) if address != self.own_address
+            address: number
+            for number, address in enumerate(addresses.instances)
+            if address != self.own_address
         }
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        if shared:
+        if reuse_address:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.setblocking(False)
         self.sock.bind(addresses.listen)
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -33,11 +33,11 @@
 
 
 InboxEvent = api.Action | AttemptResult | DeadlineReached | DiscoveryStale
-DispatchListener = Callable[[int, int], None]  # engine id, threads of the attempt
+AttemptListener = Callable[[int, int], None]  # engine id, threads of the attempt
 
 
-def ignore_dispatch(engine: int, threads: int) -> None:
-    """Do nothing; the dispatch listener of instances without peers."""
+def ignore_attempt(engine: int, threads: int) -> None:
+    """Do nothing; the attempt listener of instances without peers."""
 
 
 @dataclass
@@ -49,7 +49,7 @@
         pool: The engines.
         settings: The settings of the deployment.
         counters: Counters of outcomes.
-        on_dispatch: Called with engine and thread count of each attempt that is announced to peers.
+        on_attempt_sent: Called with engine and thread count of each attempt that is announced to peers.
         shutdown_deadline: Time at which the process stops, by the driver's clock.
     """
 
@@ -57,7 +57,7 @@
     pool: EnginePool
     settings: api.Settings
     counters: Counters
-    on_dispatch: DispatchListener = ignore_dispatch
+    on_attempt_sent: AttemptListener = ignore_attempt
     shutdown_deadline: float = inf
 
     def time_remaining(self, request: Request) -> float:
@@ -202,7 +202,7 @@
             self.used_connections.add(attempt.connection)
         if not attempt.is_finished:
             if send.announce:
-                self._environment.on_dispatch(send.engine, self._spec.threads)
+                self._environment.on_attempt_sent(send.engine, self._spec.threads)
             self.in_flight = attempt
             record.timeout_timer = loop.call_later(max(0.0, timeout), attempt.cancel, api.Result.TIMEOUT)
 
--- a/applevale/requests/handler.py
+++ b/applevale/requests/handler.py
@@ -10,13 +10,13 @@
 from ..observability.counters import Counters
 from .context import (
     DEADLINE_MARGIN_SECONDS,
+    AttemptListener,
     DeadlineReached,
     DiscoveryStale,
-    DispatchListener,
     InboxEvent,
     RequestContext,
     RequestEnvironment,
-    ignore_dispatch,
+    ignore_attempt,
 )
 from .model import Rejected, Request, Response
 
@@ -37,7 +37,7 @@
         pool: EnginePool,
         settings: api.Settings,
         counters: Counters,
-        on_dispatch: DispatchListener = ignore_dispatch,
+        on_attempt_sent: AttemptListener = ignore_attempt,
     ):
         """Create a handler.
 
@@ -46,10 +46,10 @@
             pool: The engines.
             settings: The settings of the deployment.
             counters: Counters of outcomes.
-            on_dispatch: Called with engine and thread count of each attempt that is announced to peers.
+            on_attempt_sent: Called with engine and thread count of each attempt that is announced to peers.
         """
         self.active: set[RequestContext] = set()
-        self._environment = RequestEnvironment(driver, pool, settings, counters, on_dispatch)
+        self._environment = RequestEnvironment(driver, pool, settings, counters, on_attempt_sent)
         self._driver = driver
         self._counters = counters
         # Numbers of the requests with an order key whose responses are not delivered yet.
@@ -125,7 +125,7 @@
         self._is_rejecting = True
         self._notify_active(DiscoveryStale)
 
-    def finish_all(self) -> None:
+    def respond_to_all(self) -> None:
         """Respond to all requests now, including those that wait for the order of arrivals to be known."""
         self._driver.stall_monitor.order_known.set()
         self._notify_active(DeadlineReached)
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -18,7 +18,7 @@
 from ..observability.counters import Counters
 from ..observability.events import emit_event
 from ..policy import AdmissionController
-from ..requests.context import ignore_dispatch
+from ..requests.context import ignore_attempt
 from ..requests.handler import RequestHandler
 from ..server.limits import ServerLimits
 from ..server.listener import RpcServer
@@ -128,8 +128,8 @@
 
     def _create_handler(self) -> RequestHandler:
         sender = self.load_report_sender
-        on_dispatch = ignore_dispatch if sender is None else sender.on_dispatch
-        return RequestHandler(self.driver, self.pool, self.config.settings, self.counters, on_dispatch)
+        on_attempt_sent = ignore_attempt if sender is None else sender.on_attempt_sent
+        return RequestHandler(self.driver, self.pool, self.config.settings, self.counters, on_attempt_sent)
 
     def _create_server(self) -> RpcServer:
         buffer_memory = int(self.config.memory_bytes * CLIENT_BUFFER_MEMORY_SHARE)
--- a/applevale/runtime/optional_components.py
+++ b/applevale/runtime/optional_components.py
@@ -58,7 +58,7 @@
     They do if it is too expensive to probe engines before each send.
     """
     settings = config.settings
-    if config.peers is None or config.peers.everyone is None:
+    if config.peers is None or config.peers.broadcast is None:
         return False
     return not controller.outliers.probes_before_send and settings.may_tell_peers and settings.gateways > 1
 
@@ -67,8 +67,8 @@
     """Return the socket that all components share to exchange datagrams with other instances."""
     from ..net.datagrams import DatagramSocket
 
-    is_shared = config.membership is not None
-    return DatagramSocket(config.peers, config.settings.me, counters, shared=is_shared)
+    may_reuse_address = config.membership is not None
+    return DatagramSocket(config.peers, config.settings.me, counters, reuse_address=may_reuse_address)
 
 
 def create_load_report_sender(
@@ -101,7 +101,7 @@
     from ..membership.protocol import MembershipProtocol
     from ..membership.runner import MembershipRunner, new_process_id
 
-    count = len(config.peers.each)
+    count = len(config.peers.instances)
     timing = ProtocolConfig(probe_interval=config.membership)
     protocol = MembershipProtocol(config.settings.me, count, new_process_id(), Random(config.seed), timing)
     return MembershipRunner(protocol, EffectiveFleetSize(count), datagrams, counters, on_resize)
--- a/applevale/runtime/shutdown.py
+++ b/applevale/runtime/shutdown.py
@@ -55,7 +55,7 @@
         self.server.drain(final_response_at - REJECT_NEW_SECONDS - loop.time())
         while self._is_busy() and loop.time() < final_response_at:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
-        self.handler.finish_all()
+        self.handler.respond_to_all()
         while self._is_busy() and loop.time() < final_response_at + FINAL_RESPONSE_SECONDS / 2:
             await asyncio.sleep(FINAL_POLL_INTERVAL_SECONDS)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -212,7 +212,7 @@
             (request,) = setup.handler.active
             request.inbox.put_nowait(api.Send(request.number, 1))
             await wait_until(lambda: request.in_flight)
-        setup.handler.finish_all()
+        setup.handler.respond_to_all()
         actual = await task
         loop.may_connect.set()
         engine = setup.pool.engines[1]
@@ -548,7 +548,7 @@
         task = asyncio.create_task(setup.handler.handle(request))
         await asyncio.sleep(0)
         setup.handler.set_shutdown_deadline(setup.driver.now())
-        setup.handler.finish_all()
+        setup.handler.respond_to_all()
         return await asyncio.wait_for(task, 5)
 
     assert run_steps(steps) == model.Rejected(0.0)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -277,8 +277,8 @@
         first_socket.start()
         second_socket.start()
         first_sender.on_engine_report(1, (7.0, 0.5, 0.25))
-        first_sender.on_dispatch(2, 3)
-        first_sender.on_dispatch(2, 1)
+        first_sender.on_attempt_sent(2, 3)
+        first_sender.on_attempt_sent(2, 1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_socket:
             unknown_socket.bind(unknown_address)
             unknown_socket.sendto(dispatch_datagram(load_reports(), 1, 9), second_address)
@@ -305,7 +305,7 @@
         "peers": ["127.0.0.1:7946", "127.0.0.2:7946"],
         "peers_all": "127.0.0.9:7946",
     }
-    assert read_peers(raw).each[1] == ("127.0.0.2", 7946)
+    assert read_peers(raw).instances[1] == ("127.0.0.2", 7946)
     assert read_peers({}) is None
     with pytest.raises(ConfigError, match=r"peers\[1\]: HOST:PORT"):
         read_peers(raw | {"peers": ["127.0.0.1:7946", "nowhere"]})
