--- a/applevale/cli/registry.py
+++ b/applevale/cli/registry.py
@@ -157,7 +157,7 @@
         revision=source.watcher.revision,
         digest=source.counters["registry_digest"],
         entries=list(source.table.entries.values()),
-        errors=dict(source.table.invalid),
+        errors=dict(source.table.invalid_reasons),
     )
 
 
--- a/applevale/discovery/gated_endpoints.py
+++ b/applevale/discovery/gated_endpoints.py
@@ -52,7 +52,7 @@
         self.is_stale = not confirmed
         return api.EngineList(tuple(map(self._presented, self.entries.values())), whole=True)
 
-    def present(self, engine: int) -> api.EngineList:
+    def update_for_engine(self, engine: int) -> api.EngineList:
         """Return an update with the presented state of one engine; empty if the engine is not listed."""
         entry = self.entries.get(engine)
         if entry is None:
--- a/applevale/discovery/registry/endpoint_table.py
+++ b/applevale/discovery/registry/endpoint_table.py
@@ -42,7 +42,7 @@
     Attributes:
         names: Names of zones and machine kinds that records may use.
         entries: Last valid record of each key.
-        invalid: Reason why the current value is invalid, by key.
+        invalid_reasons: Reason why the current value is invalid, by key.
         invalid_count: Number of invalid values so far.
     """
 
@@ -50,7 +50,7 @@
         """Create an empty table; `names` are those that records may use."""
         self.names = names
         self.entries: dict[str, TableEntry] = {}
-        self.invalid: dict[str, str] = {}
+        self.invalid_reasons: dict[str, str] = {}
         self.invalid_count = 0
         self._listed_key: dict[int, str] = {}  # Key of the record that is listed, by engine.
         self._record_keys: dict[int, set[str]] = {}  # All keys that hold a record, by engine.
@@ -65,7 +65,7 @@
 
     def known_pairs(self) -> PairsByKey:
         """Return the last valid record by key; keys that never had one have revision 0 and no value."""
-        pairs = {key: KeyValuePair(key, 0, b"") for key in self.invalid}
+        pairs = {key: KeyValuePair(key, 0, b"") for key in self.invalid_reasons}
         for pair in self.pairs():
             pairs[pair.key] = pair
         return pairs
@@ -76,7 +76,7 @@
         Returns:
             The entries of engines whose listing has changed; a removed engine has the state GONE.
         """
-        self.invalid.pop(key, None)
+        self.invalid_reasons.pop(key, None)
         if value is None:
             return self._remove(key, revision)
         try:
@@ -96,12 +96,12 @@
         """
         previous = self.entries
         self.entries = {}
-        self.invalid = {}
+        self.invalid_reasons = {}
         self._listed_key = {}
         self._record_keys = {}
         for key, revision, value in pairs:
             changed = self.put(key, revision, value)
-            if not changed and key in self.invalid and key in previous:
+            if not changed and key in self.invalid_reasons and key in previous:
                 self._carry_over(replace(previous[key], revision=revision))
         return tuple(self._listed_entries())
 
@@ -110,7 +110,7 @@
 
     def _reject(self, key: str, revision: int, reason: str) -> None:
         """Record an invalid value. The key keeps its record, but takes the new revision."""
-        self.invalid[key] = reason
+        self.invalid_reasons[key] = reason
         self.invalid_count += 1
         previous = self.entries.get(key)
         if previous is not None:
--- a/applevale/discovery/registry/source.py
+++ b/applevale/discovery/registry/source.py
@@ -120,7 +120,7 @@
         """
         return self.watcher.is_fresh(self._clock())
 
-    def may_start_work(self) -> bool:
+    def may_send_requests(self) -> bool:
         """Return whether new requests may be sent to listed engines."""
         return self.settings.on_stale == "serve" or self.is_fresh()
 
--- a/applevale/engines/connect_pacer.py
+++ b/applevale/engines/connect_pacer.py
@@ -55,7 +55,7 @@
         self.schedule.record_disconnect(engine_id, self._now())
         if not self.may_connect(engine_id):
             self.endpoints.awaiting_connect_slot.add(engine_id)
-            self.submit(self.endpoints.present(engine_id))
+            self.submit(self.endpoints.update_for_engine(engine_id))
             self.on_readiness_change()
         self._restart_timer()
 
@@ -86,7 +86,7 @@
             self._timer.cancel()
             self._timer = None
         slot_times = (
-            self.schedule.allowed_from.get(engine_id, -inf)
+            self.schedule.next_connect_at.get(engine_id, -inf)
             for engine_id in self.endpoints.awaiting_connect_slot
         )
         next_slot_time = min(slot_times, default=None)
@@ -100,6 +100,6 @@
         ]
         for engine_id in due_engines:
             self.endpoints.awaiting_connect_slot.discard(engine_id)
-            self.submit(self.endpoints.present(engine_id))
+            self.submit(self.endpoints.update_for_engine(engine_id))
         self.on_readiness_change()
         self._restart_timer()
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -115,6 +115,7 @@
         )
 
     def _create_pool(self) -> EnginePool:
+        source = self.registry_source
         return EnginePool(
             self.config.connection_limits,
             self.config.settings.report_columns,
@@ -123,7 +124,7 @@
             local_address=self.config.local_address,
             connect_policy=self.connect_pacer,
             observer=EngineActivityObserver(self.metrics, self.load_report_sender),
-            is_list_confirmed=None if self.registry_source is None else self.registry_source.may_start_work,
+            is_list_confirmed=None if source is None else source.may_send_requests,
         )
 
     def _create_handler(self) -> RequestHandler:
--- a/applevale/runtime/ejection_control.py
+++ b/applevale/runtime/ejection_control.py
@@ -70,4 +70,4 @@
             self.counters["bans_changed"] += 1
             if engine in self.ejections.ejected:
                 self.pool.withdraw_unsent(engine)
-            self.driver.submit(self.endpoints.present(engine))
+            self.driver.submit(self.endpoints.update_for_engine(engine))
--- a/applevale/startup/connect_schedule.py
+++ b/applevale/startup/connect_schedule.py
@@ -37,13 +37,13 @@
         rate: Maximum connections per second to one engine, over all instances.
         instance_count: Number of instances.
         instance_index: Index of this instance, from 0.
-        allowed_from: Earliest time of the next connection, by engine.
+        next_connect_at: Earliest time of the next connection, by engine.
     """
 
     rate: float
     instance_count: int
     instance_index: int
-    allowed_from: dict[int, float] = field(default_factory=dict)
+    next_connect_at: dict[int, float] = field(default_factory=dict)
 
     @property
     def round_seconds(self) -> float:
@@ -62,26 +62,26 @@
 
     def set_engines(self, engines: Set[int], now: float) -> None:
         """Replace the set of known engines; a round begins at `now` for each new one."""
-        removed = self.allowed_from.keys() - engines
+        removed = self.next_connect_at.keys() - engines
         for engine in removed:
-            del self.allowed_from[engine]
-        for engine in engines - self.allowed_from.keys():
-            self.allowed_from[engine] = now + self.slot_offset(engine)
+            del self.next_connect_at[engine]
+        for engine in engines - self.next_connect_at.keys():
+            self.next_connect_at[engine] = now + self.slot_offset(engine)
 
     def may_connect(self, engine: int, now: float) -> bool:
         """Return whether a connection to an engine may begin; unknown engines are not limited."""
-        return now >= self.allowed_from.get(engine, -inf)
+        return now >= self.next_connect_at.get(engine, -inf)
 
     def record_connect(self, engine: int, now: float) -> None:
         """Record that a connection to an engine begins."""
-        if self.round_seconds and engine in self.allowed_from:
-            self.allowed_from[engine] = now + self.round_seconds
+        if self.round_seconds and engine in self.next_connect_at:
+            self.next_connect_at[engine] = now + self.round_seconds
 
     def record_disconnect(self, engine: int, now: float) -> None:
         """Record that the last connection to an engine broke.
 
         The connections of all instances may have broken at once, so a new round begins.
         """
-        if self.round_seconds and engine in self.allowed_from:
+        if self.round_seconds and engine in self.next_connect_at:
             slot = now + self.slot_offset(engine)
-            self.allowed_from[engine] = max(self.allowed_from[engine], slot)
+            self.next_connect_at[engine] = max(self.next_connect_at[engine], slot)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -84,11 +84,11 @@
     engine = registry.find("s-00000002")
     assert engine == 2 and registry.find("127.0.0.1:7002") == 2 and registry.find("s-00000009") is None
     assert registry.set_ejected(engine, True, 1.0) and not registry.set_ejected(engine, True, 2.0)
-    assert gated.present(engine).entries[0].state is api.State.DRAINING
+    assert gated.update_for_engine(engine).entries[0].state is api.State.DRAINING
     relisted = gated.apply_update(EndpointUpdate(2, False, (endpoint(2),)))  # listed as ready again
     assert relisted.entries[0].state is api.State.DRAINING
     assert registry.set_ejected(engine, False, 3.0) and not registry.set_ejected(engine, False, 4.0)
-    assert gated.present(engine).entries[0].state is api.State.READY
+    assert gated.update_for_engine(engine).entries[0].state is api.State.READY
 
 
 def test_an_ejection_file_is_decoded_completely_or_rejected():
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -253,7 +253,7 @@
         assert paced.submitted_states() == [api.State.DRAINING] and not paced.pool.connect_policy.may_connect(
             1
         )
-        await advance(loop, paced.schedule.allowed_from[1] - loop.now)
+        await advance(loop, paced.schedule.next_connect_at[1] - loop.now)
         assert paced.submitted_states() == [api.State.DRAINING, api.State.READY]
 
     run(test)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -131,7 +131,7 @@
         environment.put(2, "draining")
         environment.store.compact()
         await environment.wait_until(lambda: not environment.source.is_fresh())
-        assert environment.engines == {1: "ready", 2: "ready"} and not environment.source.may_start_work()
+        assert environment.engines == {1: "ready", 2: "ready"} and not environment.source.may_send_requests()
         for proxy in environment.proxies:
             proxy.set_mode(ProxyMode.PASS)
         await environment.wait_until_current()
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -98,7 +98,7 @@
         for schedule in schedules:
             for engine in engines:
                 for _ in range(2):
-                    at = max(start, schedule.allowed_from[engine])
+                    at = max(start, schedule.next_connect_at[engine])
                     assert schedule.may_connect(engine, at)
                     connected_at[engine].append(at)
                     schedule.record_connect(engine, at)
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -497,9 +497,10 @@
     harness = watching()
     harness.events(11, ("k1", 11, value), ("k3", 11, value))
     assert harness.engines == {1: "ready", 2: "ready"}
-    assert set(harness.watcher.watched_list.table.invalid) == {"k1", "k3"}
+    assert set(harness.watcher.watched_list.table.invalid_reasons) == {"k1", "k3"}
     harness.events(12, ("k1", 12, record(1, "draining")))
-    assert harness.engines[1] == "draining" and set(harness.watcher.watched_list.table.invalid) == {"k3"}
+    assert harness.engines[1] == "draining"
+    assert set(harness.watcher.watched_list.table.invalid_reasons) == {"k3"}
     harness.execute(harness.watcher.on_compacted(harness.now, harness.session_id))
     harness.snapshot(13, k1=value, k2=record(2))
     assert harness.engines == {1: "draining", 2: "ready"}
