--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -215,7 +215,7 @@
     return outage
 
 
-def broken(run_figures: dict, nodes: int, limits: dict[str, float]) -> list[str]:
+def violated_limits(run_figures: dict, nodes: int, limits: dict[str, float]) -> list[str]:
     """Describe the limits that a run missed.
 
     Args:
--- a/applevale/checkers/membership.py
+++ b/applevale/checkers/membership.py
@@ -92,7 +92,7 @@
     }
 
 
-def broken(run_figures: dict, limits: dict[str, float]) -> list[str]:
+def violated_limits(run_figures: dict, limits: dict[str, float]) -> list[str]:
     """Return a line for each limit that the figures of a run exceed; `limits` are added to `ALWAYS`."""
     exceeded = [
         f"{name}: {run_figures[name]}, over {limit:g}"
--- a/applevale/harness/scenarios/runner.py
+++ b/applevale/harness/scenarios/runner.py
@@ -64,10 +64,10 @@
 def _figures(fleet: Fleet, history: History, counters: dict[str, int], case: Case) -> dict:
     nodes = fleet.plan.nodes
     figures = coldstart_checker.figures(history, nodes) | counters | _fleet_figures(fleet)
-    broken = coldstart_checker.broken(figures, nodes, case.limits(figures, nodes))
+    broken = coldstart_checker.violated_limits(figures, nodes, case.limits(figures, nodes))
     if fleet.plan.members:
         among_members = membership_checker.figures(history)
-        broken += membership_checker.broken(among_members, {})
+        broken += membership_checker.violated_limits(among_members, {})
         figures |= among_members | {"datagrams": dict(fleet.links.relay.stats)}
     if fleet.figures["bad_exits"]:
         broken.append(f"exits with another code than 0: {fleet.figures['bad_exits']}")
--- a/applevale/simulation/membership.py
+++ b/applevale/simulation/membership.py
@@ -60,8 +60,8 @@
         count: int,
         seed: int,
         config: ProtocolConfig | None = None,
-        liar: type[MembershipProtocol] | None = None,
-        known: bool = False,
+        faulty_protocol_class: type[MembershipProtocol] | None = None,
+        start_joined: bool = False,
     ):
         """Create a fleet that has not started yet.
 
@@ -69,14 +69,14 @@
             count: Members.
             seed: Seed of all random draws.
             config: Parameters of the protocol; None: the defaults.
-            liar: Another class for the first member's protocol, with a planted fault.
-            known: Whether all know each other from the first moment, without the traffic of their start.
+            faulty_protocol_class: Class with a planted fault for the first member's protocol.
+            start_joined: Whether all know each other from the first moment, without the traffic of joining.
         """
         self.count = count
         self.seed = seed
         self.config = config or ProtocolConfig()
-        self.liar = liar
-        self.known = known
+        self.faulty_protocol_class = faulty_protocol_class
+        self.start_joined = start_joined
         self.simulation = Simulation(count, seed, self)
         self.fault_player = FaultPlayer(self.simulation)
         self.process_ids = [self._process_id(number, 1) for number in range(count)]
@@ -96,7 +96,7 @@
         return self.fault_player.events + self._sent_events()
 
     def _schedule_starts(self) -> None:
-        spread = KNOWN_START_SPREAD_SECONDS if self.known else START_SPREAD_SECONDS
+        spread = KNOWN_START_SPREAD_SECONDS if self.start_joined else START_SPREAD_SECONDS
         for number in range(self.count):
             start_at = spread * Random(f"{self.seed} {number}").random()
             self.simulation.call_at(start_at, lambda number=number: self.fault_player.start(number))
@@ -119,13 +119,13 @@
         self.simulation.call_at(self.simulation.now + SHARE_SAMPLE_INTERVAL_SECONDS, self._sample_shares)
 
     def create_actor(self, number: int, start_count: int) -> MembershipProtocol:
-        """Return the protocol of a member, or of the liar."""
+        """Return the protocol of a member, with the planted fault if it is the faulty one."""
         random = Random(f"{self.seed} {number} {start_count}")
-        is_liar = self.liar is not None and number == 0
-        protocol_class = self.liar if is_liar else MembershipProtocol
+        is_faulty = self.faulty_protocol_class is not None and number == 0
+        protocol_class = self.faulty_protocol_class if is_faulty else MembershipProtocol
         process_id = self._process_id(number, start_count)
         protocol = protocol_class(number, self.count, process_id, random, self.config)
-        if self.known and start_count == 1:
+        if self.start_joined and start_count == 1:
             protocol.start = lambda now: protocol.start_joined(now, self.process_ids)
         return protocol
 
--- a/applevale/simulation/runners.py
+++ b/applevale/simulation/runners.py
@@ -67,7 +67,7 @@
     changed_timeouts = {TIMEOUT_FIELDS[key]: settings[key] for key in settings if key in TIMEOUT_FIELDS}
     changes = {CONFIG_FIELDS[key]: settings[key] for key in settings if key in CONFIG_FIELDS}
     config = replace(config, timeouts=replace(config.timeouts, **changed_timeouts), **changes)
-    fleet = SimulatedFleet(size, seed, config, known=size >= MIN_KNOWN_FLEET)
+    fleet = SimulatedFleet(size, seed, config, start_joined=size >= MIN_KNOWN_FLEET)
     return _flatten(membership_checker.figures(History(fleet.run(case))))
 
 
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -81,20 +81,20 @@
         self._updates.remove_members(now, (MemberUpdate(member, record),))
 
 
-def notice_no_pause(self, now):
+def ignore_pause(self, now):
     self._health.last_event_at = now
 
 
-def refute_from_the_first(self, now, reported):
+def refute_from_first_incarnation(self, now, reported):
     refute(self, now, reported if self._identity.incarnation else 0)
 
 
-def heed_own_process_only(self, now, record):
+def ignore_records_of_earlier_processes(self, now, record):
     if record.process_id == self._identity.process_id:
         on_own_record(self, now, record)
 
 
-def ask_no_one(self, now, sequence_number, probe):
+def ask_no_helpers(self, now, sequence_number, probe):
     pass
 
 
@@ -106,8 +106,8 @@
     self.next_join_at = float("inf")
 
 
-def call_everyone_dead(self, now):
-    """In its own name, and forged in those of others."""
+def report_all_members_dead(self, now):
+    """Suspect every other member, in its own name and in the forged names of other members."""
     for target in list(self.view.alive):
         others = [member for member in self.view.alive if member != target]
         updates = tuple(
@@ -120,30 +120,35 @@
     return on_tick(self, now)
 
 
-MEMBERS = {
-    "one_word": {SuspicionMonitor: {"suspect": dead_by_one_observer}},
-    "no_look": {
-        SelfMonitor: {"check_for_pause": notice_no_pause},
+MEMBERSHIP_FAULTS = {
+    "death_by_one_observer": {SuspicionMonitor: {"suspect": dead_by_one_observer}},
+    "no_pause_detection": {
+        SelfMonitor: {"check_for_pause": ignore_pause},
         LocalHealth: {"may_suspect_others": lambda self, now: True},
     },
-    "reset": {LocalMember: {"refute": refute_from_the_first, "on_own_record": heed_own_process_only}},
-    "no_help": {FailureDetector: {"_ask_helpers": ask_no_one}},
-    "never_mended": {
+    "incarnation_reset": {
+        LocalMember: {
+            "refute": refute_from_first_incarnation,
+            "on_own_record": ignore_records_of_earlier_processes,
+        }
+    },
+    "no_helpers": {FailureDetector: {"_ask_helpers": ask_no_helpers}},
+    "no_sync": {
         AntiEntropy: {"request_sync": sync_nothing},
         JoinProber: {"send_join": never_send_join},
     },
-    "liar": {MembershipProtocol: {"on_tick": call_everyone_dead}},
+    "forged_suspicions": {MembershipProtocol: {"on_tick": report_all_members_dead}},
 }
 
 
-def plant_in_members(fault, set_attribute=setattr):
-    for owner, methods in MEMBERS[fault].items():
+def plant_membership_fault(fault, set_attribute=setattr):
+    for owner, methods in MEMBERSHIP_FAULTS[fault].items():
         for name, method in methods.items():
             assert hasattr(owner, name)
             set_attribute(owner, name, method)
 
 
-FAULTS = {fault: lambda fault=fault: plant_in_members(fault) for fault in MEMBERS} | {
+FAULTS = {fault: lambda fault=fault: plant_membership_fault(fault) for fault in MEMBERSHIP_FAULTS} | {
     "arrival": lambda: setattr(RegistryWatcher, "on_revision", confirm_as_of_response),
     "on_top": lambda: setattr(RequestScheduler, "poll", poll_while_one_is_in_flight),
     "leaves": lambda: setattr(FailoverController, "replace_by_faster_standby", promote_slow_standby),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -77,7 +77,7 @@
         await fleet.quiet()
 
     figures, history = run_scenario(script, nodes=6, clients=4.0)
-    assert verify.broken(figures, 6, {"full_reads_most": 1, "sessions": 6}) == []
+    assert verify.violated_limits(figures, 6, {"full_reads_most": 1, "sessions": 6}) == []
     assert figures["drains"] == 1 and figures["fault_kill"] == 1 and figures["served"] > 20
     assert "turns_left_out" not in figures
     assert {event["who"] for event in history.select("read")} == {f"n{number}" for number in range(6)}
--- a/tests/test_members_fleet.py
+++ b/tests/test_members_fleet.py
@@ -90,7 +90,7 @@
 
 def test_six_instances_agree_on_the_members_alive_through_many_faults():
     figures, history = run_scenario(many_faults)
-    assert membership_checker.broken(figures, {}) == []
+    assert membership_checker.violated_limits(figures, {}) == []
     assert figures["killed"] == 1
     assert figures["lost_requests"] == 0
     assert figures["served"] > 10
@@ -154,11 +154,11 @@
 
 # A fault planted in the protocol, the scenario that exposes it, and the figure that shows it.
 DETECTED_FAULTS = [
-    ("one_word", packet_loss, "false_dead"),
-    ("no_look", waves, "false_dead"),
-    ("reset", back, "wrong_views"),
-    ("no_help", killed, "missed"),
-    ("never_mended", halves, "wrong_views"),
+    ("death_by_one_observer", packet_loss, "false_dead"),
+    ("no_pause_detection", waves, "false_dead"),
+    ("incarnation_reset", back, "wrong_views"),
+    ("no_helpers", killed, "missed"),
+    ("no_sync", halves, "wrong_views"),
 ]
 
 
@@ -171,12 +171,14 @@
 @pytest.mark.parametrize("script", [waves, halves], ids=["waves", "halves"])
 def test_without_a_planted_fault_the_same_scenarios_keep_all_guarantees(script):
     figures, _ = run_scenario(script, clients=0.0)
-    assert membership_checker.broken(figures, {}) == []
+    assert membership_checker.violated_limits(figures, {}) == []
 
 
 def test_an_instance_that_declares_all_others_dead_does_not_change_their_views():
-    figures, history = run_scenario(calm, clients=0.0, entry=("tests.planted", "liar"), entry_of="n0")
-    assert membership_checker.broken(figures, {}) == []
+    figures, history = run_scenario(
+        calm, clients=0.0, entry=("tests.planted", "forged_suspicions"), entry_of="n0"
+    )
+    assert membership_checker.violated_limits(figures, {}) == []
     assert sum(1 for _ in history.select("view", since=history.mark_time("joined"))) == 0
 
 
@@ -213,4 +215,4 @@
     ]
     figures = figures_of(*sent, final_view | {"view": ["n0", "n1", "n2"]})
     assert figures["bytes_s_max"] == 3000
-    assert len(membership_checker.broken(figures, {})) == 2
+    assert len(membership_checker.violated_limits(figures, {})) == 2
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
 from applevale.net.datagrams import DatagramSocket
 from applevale.observability.counters import Counters
 from applevale.simulation.membership import SimulatedFleet
-from tests.planted import MEMBERS, plant_in_members
+from tests.planted import MEMBERSHIP_FAULTS, plant_membership_fault
 
 uint16s = st.integers(0, 65535)
 records = st.builds(
@@ -411,7 +411,7 @@
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_simulated_fleet_keeps_its_guarantees(name):
     figures = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
-    assert membership_checker.broken(figures, {}) == []
+    assert membership_checker.violated_limits(figures, {}) == []
     assert figures["datagram_max"] <= codec.MAX_DATAGRAM_BYTES
     assert figures["killed"] == (name == "killed")
 
@@ -426,18 +426,18 @@
 
 # A fault planted in the protocol, the scenario that exposes it, and the figure that shows it.
 DETECTED_FAULTS = [
-    ("one_word", "loss-20", "false_dead"),
-    ("no_look", "waves", "false_dead"),
-    ("reset", "back", "wrong_views"),
-    ("no_help", "killed", "missed"),
-    ("never_mended", "halves", "wrong_views"),
+    ("death_by_one_observer", "loss-20", "false_dead"),
+    ("no_pause_detection", "waves", "false_dead"),
+    ("incarnation_reset", "back", "wrong_views"),
+    ("no_helpers", "killed", "missed"),
+    ("no_sync", "halves", "wrong_views"),
 ]
 
 
 @pytest.mark.parametrize("fault,name,figure", DETECTED_FAULTS, ids=[case[0] for case in DETECTED_FAULTS])
 def test_the_simulation_detects_a_planted_fault(monkeypatch, fault, name, figure):
     with monkeypatch.context() as patch:
-        plant_in_members(fault, patch.setattr)
+        plant_membership_fault(fault, patch.setattr)
         figures = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
     assert figures[figure] > 0
     figures_without_fault = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
@@ -445,8 +445,12 @@
 
 
 def test_a_member_that_forges_suspicions_causes_no_death():
-    liar = type("Liar", (MembershipProtocol,), MEMBERS["liar"][MembershipProtocol])
-    figures = membership_checker.figures(History(SimulatedFleet(12, 1, liar=liar).run("calm")))
+    faulty_class = type(
+        "ForgingProtocol", (MembershipProtocol,), MEMBERSHIP_FAULTS["forged_suspicions"][MembershipProtocol]
+    )
+    figures = membership_checker.figures(
+        History(SimulatedFleet(12, 1, faulty_protocol_class=faulty_class).run("calm"))
+    )
     assert figures["false_dead"] == 0
     assert figures["wrong_views"] == 0
 
