--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -18,7 +18,7 @@
 from ..observability.counters import Counters
 from ..observability.events import emit_event
 from ..policy import AdmissionController
-from ..requests.context import ignore_dispatch
+from ..requests.context import ignore_attempt
 from ..requests.handler import RequestHandler
 from ..server.limits import ServerLimits
 from ..server.listener import RpcServer
@@ -115,6 +115,7 @@
         )
 
     def _create_pool(self) -> EnginePool:
+        source = self.registry_source
         return EnginePool(
             self.config.connection_limits,
             self.config.settings.report_columns,
@@ -123,13 +124,13 @@
             local_address=self.config.local_address,
             connect_policy=self.connect_pacer,
             observer=EngineActivityObserver(self.metrics, self.load_report_sender),
-            is_list_confirmed=None if self.registry_source is None else self.registry_source.may_start_work,
+            is_list_confirmed=None if source is None else source.may_send_requests,
         )
 
     def _create_handler(self) -> RequestHandler:
         sender = self.load_report_sender
-        on_dispatch = ignore_dispatch if sender is None else sender.on_dispatch
-        return RequestHandler(self.driver, self.pool, self.config.settings, self.counters, on_dispatch)
+        on_attempt_sent = ignore_attempt if sender is None else sender.on_attempt_sent
+        return RequestHandler(self.driver, self.pool, self.config.settings, self.counters, on_attempt_sent)
 
     def _create_server(self) -> RpcServer:
         buffer_memory = int(self.config.memory_bytes * CLIENT_BUFFER_MEMORY_SHARE)
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -252,7 +252,7 @@
         paced.pool.connect_policy.record_disconnect(1)
         assert paced.submitted_states() == [api.EngineState.DRAINING]
         assert not paced.pool.connect_policy.may_connect(1)
-        await advance(loop, paced.schedule.allowed_from[1] - loop.now)
+        await advance(loop, paced.schedule.next_connect_at[1] - loop.now)
         assert paced.submitted_states() == [api.EngineState.DRAINING, api.EngineState.READY]
 
     run(test)
