--- a/applevale/admin/draining.py
+++ b/applevale/admin/draining.py
@@ -45,7 +45,7 @@
         """Return whether a request that arrives now is rejected."""
         return now >= self.reject_from
 
-    def may_close(self, has_open_work: bool, has_unread_input: bool) -> bool:
+    def should_close(self, has_open_work: bool, has_unread_input: bool) -> bool:
         """Return whether a connection is to be closed.
 
         Args:
@@ -54,6 +54,6 @@
         """
         return self.is_active and not (has_open_work or has_unread_input)
 
-    def first_request_wait(self, accepted_at: float, now: float) -> float:
+    def first_request_time_left(self, accepted_at: float, now: float) -> float:
         """Return for how many more seconds a connection without any request stays open."""
         return max(0.0, accepted_at + FIRST_REQUEST_GRACE_SECONDS - now)
--- a/applevale/cli/main.py
+++ b/applevale/cli/main.py
@@ -28,7 +28,7 @@
 def check(path: ConfigPath) -> None:
     """Check a configuration; an error is one line that names the key, with exit code 2."""
     config = read_config(path)
-    list_source = "the control feed" if config.feed else "known events only"
+    list_source = "the control feed" if config.feed_address else "known events only"
     if config.registry is not None:
         list_source = f"a registry ({config.registry.kind}, {len(config.registry.addresses)} addresses)"
     typer.echo(f"{path}: good. {len(config.settings.classes)} classes, the engine list from {list_source}")
--- a/applevale/cli/registry.py
+++ b/applevale/cli/registry.py
@@ -107,7 +107,7 @@
     observer = _RegistryObserver(is_watching)
     source = RegistrySource(
         config.registry,
-        config.names,
+        config.attribute_names,
         Counters(),
         observer.on_update,
         observer.on_freshness_change,
--- a/applevale/config/model.py
+++ b/applevale/config/model.py
@@ -21,40 +21,41 @@
 
     Attributes:
         name: The name of this instance in the log.
-        listen: The address on which clients are served.
-        feed: The address of the control feed; without one the engine list stays as in `known`.
+        listen_address: The address on which clients are served.
+        feed_address: The address of the control feed; without one the engine list stays as in
+            `known_updates`.
         seed: The seed of all random draws.
-        sockets: The most file descriptors that the process may have open.
+        max_descriptors: The most file descriptors that the process may have open.
         memory_bytes: The memory available to the process, of which buffers for clients take a share.
         settings: The settings of the decision module.
         connection_limits: The limits of connections to engines.
-        names: The names of zones and machine kinds, in the order of their indices.
-        known: The updates of the engine list that are known at the start.
+        attribute_names: The names of zones and machine kinds, in the order of their indices.
+        known_updates: The updates of the engine list that are known at the start.
         peers: The addresses of the other instances; without them no datagrams are exchanged.
         registry: The settings of the key-value registry; without them the engine list comes from the feed.
         zones: The content of the zones file; without it requests are not routed by zone.
         admin_address: The address of the admin API; without it there is no admin API.
         json_log: Whether the log has JSON lines in place of plain ones.
-        engine_connects: The most connects per second to one engine by the whole fleet; None is no limit.
-        membership: The seconds between two membership probes; None disables membership.
+        engine_connects_per_second: The most connects to one engine by the whole fleet; None is no limit.
+        membership_probe_interval: The seconds between two membership probes; None disables membership.
         local_address: The source address of outgoing connections; empty for the system's choice.
     """
 
     name: str
-    listen: Address
-    feed: Address | None
+    listen_address: Address
+    feed_address: Address | None
     seed: int
-    sockets: int
+    max_descriptors: int
     memory_bytes: int
     settings: api.Settings
     connection_limits: ConnectionLimits
-    names: AttributeNames
-    known: tuple[EndpointUpdate, ...]
+    attribute_names: AttributeNames
+    known_updates: tuple[EndpointUpdate, ...]
     peers: PeerAddresses | None = None
     registry: object = None
     zones: object = None
     admin_address: Address | None = None
     json_log: bool = False
-    engine_connects: float | None = None
-    membership: float | None = None
+    engine_connects_per_second: float | None = None
+    membership_probe_interval: float | None = None
     local_address: str = ""
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -147,7 +147,7 @@
         return InstanceAdminTarget(self.server, self.metrics, self.ejection_control, self.update_readiness)
 
     def _create_membership(self) -> MembershipRunner | None:
-        if self.config.membership is None:
+        if self.config.membership_probe_interval is None:
             return None
         datagrams = self._open_datagrams()
         return optional_components.create_membership(
@@ -156,15 +156,17 @@
 
     def _create_control_feed(self) -> ControlFeed:
         config = self.config
-        last_update_number = config.known[0].number - 1 if config.known else 0
-        return ControlFeed(last_update_number, config.names, self.counters, self.apply_update, config.feed)
+        last_update_number = config.known_updates[0].number - 1 if config.known_updates else 0
+        return ControlFeed(
+            last_update_number, config.attribute_names, self.counters, self.apply_update, config.feed_address
+        )
 
     def _open_datagrams(self) -> DatagramSocket:
         if self.datagrams is None:
             self.datagrams = optional_components.create_datagrams(self.config, self.counters)
         return self.datagrams
 
-    def is_serving(self) -> bool:
+    def is_ready_for_clients(self) -> bool:
         """Return whether the instance should report itself ready for new clients."""
         has_engines = self.config.registry is None or self.endpoints.has_usable_engine()
         is_shutting_down = self.shutdown_requested.is_set()
@@ -172,7 +174,7 @@
 
     def update_readiness(self) -> None:
         """Update the readiness that probes and operators see, and emit an event if it has changed."""
-        ready = self.is_serving()
+        ready = self.is_ready_for_clients()
         if ready != self.server.is_ready:
             emit_event("ready", ready=ready)
         self.server.is_ready = ready
@@ -228,7 +230,7 @@
 
     def start(self) -> None:
         """Start following the engine list and exchanging datagrams with the other instances."""
-        self.reloader.apply_known_endpoints(self.config.known)
+        self.reloader.apply_known_endpoints(self.config.known_updates)
         self.endpoint_source.start()
         self.driver.start()
         if self.datagrams is not None:
--- a/applevale/runtime/descriptor_budget.py
+++ b/applevale/runtime/descriptor_budget.py
@@ -27,7 +27,9 @@
     @classmethod
     def from_config(cls, config: Config) -> DescriptorBudget:
         """Return the budget for a configuration."""
-        clients = config.sockets // 2
-        admin = 0 if config.admin_address is None else min(config.sockets // 8, MAX_CONCURRENT_REQUESTS)
-        engines = max(1, config.sockets - clients - RESERVED_DESCRIPTORS - admin)
+        clients = config.max_descriptors // 2
+        admin = (
+            0 if config.admin_address is None else min(config.max_descriptors // 8, MAX_CONCURRENT_REQUESTS)
+        )
+        engines = max(1, config.max_descriptors - clients - RESERVED_DESCRIPTORS - admin)
         return cls(clients, admin, engines)
--- a/applevale/runtime/lifecycle.py
+++ b/applevale/runtime/lifecycle.py
@@ -39,7 +39,7 @@
         OSError: A listening socket cannot be bound to its address.
     """
     started_at = time.time()
-    listener = listen(config.listen, shared=True)
+    listener = listen(config.listen_address, shared=True)
     admin_listener = None if config.admin_address is None else listen(config.admin_address, shared=False)
     host, port = listener.getsockname()
     application = Application(config, (host, port))
--- a/applevale/runtime/optional_components.py
+++ b/applevale/runtime/optional_components.py
@@ -33,7 +33,7 @@
     from ..zones.zone_router import ZoneRouter
 
     classes = tuple(spec.name for spec in config.settings.classes)
-    return ZoneRouter(config.zones, config.names.zones, classes, config.settings.zone, counters)
+    return ZoneRouter(config.zones, config.attribute_names.zones, classes, config.settings.zone, counters)
 
 
 def create_connect_pacer(
@@ -43,12 +43,14 @@
     on_readiness_change: Callable[[], None],
 ) -> ConnectPacer | None:
     """Return the limiter of the rate of connects to engines, or None if no rate is configured."""
-    if config.engine_connects is None:
+    if config.engine_connects_per_second is None:
         return None
     from ..engines.connect_pacer import ConnectPacer
     from ..startup.connect_schedule import ConnectSchedule
 
-    schedule = ConnectSchedule(config.engine_connects, config.settings.gateways, config.settings.me)
+    schedule = ConnectSchedule(
+        config.engine_connects_per_second, config.settings.gateways, config.settings.me
+    )
     return ConnectPacer(schedule, endpoints, submit, on_readiness_change)
 
 
@@ -67,7 +69,7 @@
     """Return the socket that all components share to exchange datagrams with other instances."""
     from ..net.datagrams import DatagramSocket
 
-    may_reuse_address = config.membership is not None
+    may_reuse_address = config.membership_probe_interval is not None
     return DatagramSocket(config.peers, config.settings.me, counters, reuse_address=may_reuse_address)
 
 
@@ -102,7 +104,7 @@
     from ..membership.runner import MembershipRunner, new_process_id
 
     count = len(config.peers.instances)
-    timing = ProtocolConfig(probe_interval=config.membership)
+    timing = ProtocolConfig(probe_interval=config.membership_probe_interval)
     protocol = MembershipProtocol(config.settings.me, count, new_process_id(), Random(config.seed), timing)
     return MembershipRunner(protocol, EffectiveFleetSize(count), datagrams, counters, on_resize)
 
@@ -120,7 +122,7 @@
 
     return RegistrySource(
         config.registry,
-        config.names,
+        config.attribute_names,
         counters,
         on_update,
         on_freshness_change,
--- a/applevale/runtime/reload.py
+++ b/applevale/runtime/reload.py
@@ -15,15 +15,15 @@
 
 # Fields of `Config` that take effect only at the start of a process, and how log lines name them.
 START_ONLY_FIELDS = {
-    "listen": "listen",
-    "sockets": "limits.sockets",
+    "listen_address": "listen",
+    "max_descriptors": "limits.sockets",
     "memory_bytes": "limits.memory_mb",
     "settings": "settings",
     "connection_limits": "settings of connections to engines",
     "zones": "zones_file",
 }
 # Fields of `Config` that must not change, because they identify the instance, and how log lines name them.
-IDENTITY_FIELDS = {"name": "name", "names": "zones or kinds"}
+IDENTITY_FIELDS = {"name": "name", "attribute_names": "zones or kinds"}
 
 
 class ConfigReloader:
@@ -71,7 +71,7 @@
             return
         self.counters["reloads"] += 1
         self.metrics.record_reload(True)
-        self.apply_known_endpoints(config.known)
+        self.apply_known_endpoints(config.known_updates)
         self._reconfigure_source(config)
         pending = self._changed_names(START_ONLY_FIELDS, config)
         if pending:
@@ -110,6 +110,6 @@
             log_event("reload", "takes effect at the next start only: registry")
             return
         try:
-            self.source.reconfigure(config.registry if uses_registry else config.feed)
+            self.source.reconfigure(config.registry if uses_registry else config.feed_address)
         except ValueError as error:
             log_event("reload", f"the source of the engine list stays as before: {error}")
--- a/applevale/server/connection_table.py
+++ b/applevale/server/connection_table.py
@@ -152,12 +152,14 @@
         if connection not in self._tasks:
             return
         is_busy = connection.is_busy
-        if self.drain_state.may_close(is_busy, is_busy or connection.has_pending_input()):
+        if self.drain_state.should_close(is_busy, is_busy or connection.has_pending_input()):
             connection.stop("")
 
     def _schedule_close_of_silent(self, connection: ClientConnection, accepted_at: float) -> None:
         """Close a connection after the grace period for the first request of its client."""
         loop = asyncio.get_running_loop()
         loop.call_later(
-            self.drain_state.first_request_wait(accepted_at, loop.time()), self._close_if_unused, connection
+            self.drain_state.first_request_time_left(accepted_at, loop.time()),
+            self._close_if_unused,
+            connection,
         )
--- a/tests/planted.py
+++ b/tests/planted.py
@@ -152,7 +152,7 @@
     "arrival": lambda: setattr(RegistryWatcher, "on_revision", confirm_as_of_response),
     "on_top": lambda: setattr(RequestScheduler, "poll", poll_while_one_is_in_flight),
     "leaves": lambda: setattr(FailoverController, "replace_by_faster_standby", promote_slow_standby),
-    "ready": lambda: setattr(Application, "is_serving", serving),
+    "ready": lambda: setattr(Application, "is_ready_for_clients", serving),
     "thrash": lambda: setattr(StalenessGuard, "_suspend", never_give_up),
     "compaction": lambda: setattr(RegistryWatcher, "on_compacted", ignore_compaction),
     "staleness": lambda: setattr(RegistryWatcher, "is_fresh", lambda self, now: True),
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -22,17 +22,17 @@
     drain = DrainState()
     assert not drain.is_active
     assert not drain.rejects_requests(1e9)
-    assert not drain.may_close(False, False)
+    assert not drain.should_close(False, False)
     drain.begin(10.0)
     drain.begin(11.0)  # has no effect, since the drain has begun
     assert drain.is_active
     assert not drain.rejects_requests(9.9)
     assert drain.rejects_requests(10.0)
-    assert drain.may_close(has_open_work=False, has_unread_input=False)
-    assert not drain.may_close(has_open_work=True, has_unread_input=False)
-    assert not drain.may_close(has_open_work=False, has_unread_input=True)
-    assert drain.first_request_wait(10.0, 10.0) == FIRST_REQUEST_GRACE_SECONDS
-    assert drain.first_request_wait(5.0, 10.0) == 0.0
+    assert drain.should_close(has_open_work=False, has_unread_input=False)
+    assert not drain.should_close(has_open_work=True, has_unread_input=False)
+    assert not drain.should_close(has_open_work=False, has_unread_input=True)
+    assert drain.first_request_time_left(10.0, 10.0) == FIRST_REQUEST_GRACE_SECONDS
+    assert drain.first_request_time_left(5.0, 10.0) == 0.0
     drain.end()
     assert not drain.is_active
     assert not drain.rejects_requests(1e9)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -468,7 +468,7 @@
 )
 def test_the_error_for_an_invalid_membership_section_names_the_key(change, text):
     raw = json.loads((Path(__file__).parent.parent / "deploy" / "members.json").read_text())
-    assert parse_config(raw, {}).membership == 0.1
+    assert parse_config(raw, {}).membership_probe_interval == 0.1
     settings = raw["settings"] | change.pop("settings", {})
     with pytest.raises(ConfigError, match="^" + re.escape(text)):
         parse_config(raw | change | {"settings": settings}, {})
