--- a/applevale/cli/experiments.py
+++ b/applevale/cli/experiments.py
@@ -47,7 +47,7 @@
         counts = grid.run(specification, machine.run, Path(folder), jobs or None, show_progress)
     except (OSError, ExperimentError) as error:
         fail(str(error))
-    typer.echo(f"{folder}: {counts.completed} runs played, {counts.known} were there")
+    typer.echo(f"{folder}: {counts.completed} runs completed, {counts.known} already had results")
 
 
 def _read_experiment(path: str) -> tuple[Experiment, Machine]:
--- a/applevale/config/sections.py
+++ b/applevale/config/sections.py
@@ -125,7 +125,7 @@
         )
     if me >= len(peers.instances):
         raise ConfigError(
-            f"settings.me: {me} is none of the {len(peers.instances)} peers; it must be the index of one"
+            f"settings.me: {me} is not the index of a peer; it must be below {len(peers.instances)}"
         )
     return read_number(section, "probe", DEFAULT_PROBE_INTERVAL_SECONDS, MIN_PROBE_INTERVAL_SECONDS)
 
--- a/applevale/runtime/reload.py
+++ b/applevale/runtime/reload.py
@@ -95,7 +95,9 @@
         """
         changed = self._changed_names(IDENTITY_FIELDS, config)
         if changed:
-            raise ConfigError(f"another one's {', '.join(changed)}")
+            raise ConfigError(
+                f"{', '.join(changed)}: must not change in a running process; a restart is needed"
+            )
 
     def _changed_names(self, fields: Mapping[str, str], config: Config) -> list[str]:
         """Return the names in log lines of fields that differ from the configuration at the start."""
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -32,7 +32,7 @@
 def test_a_grid_is_played_once_and_goes_on_after_a_stop(tmp_path):
     path, folder = write(tmp_path), str(tmp_path / "out")
     first = run("experiment", "run", path, folder, "--jobs", "2")
-    assert first.exit_code == 0 and "4 runs played, 0 were there" in first.output
+    assert first.exit_code == 0 and "4 runs completed, 0 already had results" in first.output
     rows = results.read_results(tmp_path / "out" / "results.csv")
     assert {(row["version"], row["seed"]) for row in rows} == {
         (version, seed) for version in ("fleet", "swim") for seed in "12"
@@ -41,7 +41,7 @@
     stored = tmp_path / "out" / "results.csv"
     stored.write_text("\n".join(stored.read_text().splitlines()[:-1]) + "\n")  # stopped before the last
     again = run("experiment", "run", path, folder)
-    assert "1 runs played, 3 were there" in again.output
+    assert "1 runs completed, 3 already had results" in again.output
     picture = tmp_path / "agree.png"
     assert run("experiment", "chart", folder, "agree_s_max", str(picture)).exit_code == 0
     assert picture.read_bytes().startswith(b"\x89PNG")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -463,7 +463,7 @@
         ({"membership": []}, "membership: an object"),
         ({"peers": ["127.0.0.1:7946"]}, "membership: peer_listen and the addresses of 2"),
         ({"peer_listen": None}, "membership: peer_listen"),
-        ({"settings": {"me": 3}}, "settings.me: 3 is none of the 3 peers"),
+        ({"settings": {"me": 3}}, "settings.me: 3 is not the index of a peer; it must be below 3"),
     ],
 )
 def test_the_error_for_an_invalid_membership_section_names_the_key(change, text):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -262,7 +262,9 @@
     other_config |= change if "name" in change else {"settings": config["settings"] | change}
     instance.config_path.write_text(json.dumps(other_config))
     instance.process.send_signal(signal.SIGHUP)
-    assert "the old configuration stays: another one's" in wait_for_reload_message(instance.process)
+    changed = "name" if "name" in change else "zones or kinds"
+    message = f"the old configuration stays: {changed}: must not change in a running process"
+    assert message in wait_for_reload_message(instance.process)
     assert probe(instance.address)
     subscription.connection.setblocking(False)
     with pytest.raises(BlockingIOError):  # the subscription is still open
