--- a/applevale/admin/server.py
+++ b/applevale/admin/server.py
@@ -50,7 +50,7 @@
             try:
                 sock, _ = await loop.sock_accept(listener)
             except OSError as error:  # for example a disconnected client, or no free file descriptor
-                log_event("door", str(error))
+                log_event("admin", str(error))
                 await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
             await self._evict_oldest_if_full()
@@ -106,12 +106,12 @@
         if is_client_error:
             self._counters["door_refused"] += 1
             target = request.target[:MAX_QUOTED_CHARACTERS]
-            log_event("door", f"{response.status:d} {request.method} {target!r}")
+            log_event("admin", f"{response.status:d} {request.method} {target!r}")
         return response
 
     def _reject(self, error: MalformedRequestError) -> AdminResponse:
         self._counters["door_bad"] += 1
-        log_event("door", f"{error.status:d}: {error}")
+        log_event("admin", f"{error.status:d}: {error}")
         return error_response(error.status, str(error), error.field)
 
 
--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -67,7 +67,7 @@
             budget_ms = watcher.pacer.guard.response_budget * 1000
             latency_ms = watcher.pacer.latency.mean * 1000
             log_event(
-                "promise",
+                "staleness",
                 f"the staleness bound of {bound:g} s cannot be kept: "
                 f"it needs {poll_rate:.1f} reads a second, each with a response within {budget_ms:.0f} ms; "
                 f"the mean latency is {latency_ms:.0f} ms, "
@@ -75,7 +75,7 @@
                 f"on_stale={on_stale!r} applies until it can be kept",
             )
         elif self.reported_state is GuardState.ACTIVE:
-            log_event("promise", f"the staleness bound of {bound:g} s is kept again")
+            log_event("staleness", f"the staleness bound of {bound:g} s is kept again")
 
     def _report_fresh(self, now: float) -> None:
         stale_seconds = now - self.stale_since
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -165,7 +165,7 @@
             actions = self.controller.handle(self.now(), events)
         except Exception:  # the requests of this batch are ended by their deadlines, others go on
             self.counters["module_errors"] += 1
-            log_event("module", traceback.format_exc())
+            log_event("policy", traceback.format_exc())
             return
         for action in actions:
             self._execute(action)
@@ -180,7 +180,7 @@
             self.batch_lateness.record(lateness, self.now())
         if lateness > LOGGED_LATENESS_SECONDS:
             self.counters["stalls"] += 1
-            log_event("loop", f"a batch ran {lateness * 1000:.0f} ms late")
+            log_event("event_loop", f"a batch ran {lateness * 1000:.0f} ms late")
 
     def _execute(self, action: api.Action) -> None:
         match action:
@@ -194,7 +194,7 @@
             case api.Probe():
                 self.prober.probe(action.engine_id)
             case api.Log():
-                log_event("module", action.text)
+                log_event("policy", action.text)
             case _:
                 # Subscriptions, fetches and peer messages: this program gets the engine list without asking,
                 # and sends peers load reports only.
--- a/applevale/engines/connection.py
+++ b/applevale/engines/connection.py
@@ -142,7 +142,7 @@
         if self.stream_count:
             self.pool.counters["links_lost"] += 1
             open_streams = f"{self.stream_count} attempts and probes were open"
-            log_event("link", f"engine {self.engine.engine_id:08x}: {reason}, {open_streams}")
+            log_event("engine_connection", f"engine {self.engine.engine_id:08x}: {reason}, {open_streams}")
         if asyncio.current_task() is not self._task:  # else the task itself finishes its streams
             self._task.cancel()
 
--- a/applevale/harness/history_recorder.py
+++ b/applevale/harness/history_recorder.py
@@ -82,7 +82,7 @@
     def record_instance_event(self, instance: FleetInstance, event: dict) -> None:
         """Record what an instance reports, and take over its state."""
         match event["event"]:
-            case "promise":
+            case "staleness":
                 self.record("said", event.get("at"), who=instance.name, text=event.get("text", ""))
             case "view" | "stand" | "members":
                 self._record_membership(instance, event)
--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -74,14 +74,14 @@
         try:
             self.sock.sendto(data, target)
         except OSError as error:
-            log_event("peers", f"sending to {format_address(target)} failed: {error}")
+            log_event("datagram", f"sending to {format_address(target)} failed: {error}")
             return False
         return True
 
     def reject(self, sender: Address, reason: str) -> None:
         """Count and log a received datagram that cannot be used."""
         self.counters["news_unreadable"] += 1
-        log_event("peers", f"{format_address(sender)}: {reason}")
+        log_event("datagram", f"{format_address(sender)}: {reason}")
 
     def _on_readable(self) -> None:
         for _ in range(MAX_READS_PER_WAKEUP):
@@ -90,7 +90,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:  # the system reports that an earlier datagram was not delivered
-                log_event("peers", f"receiving failed: {type(error).__name__}: {error}")
+                log_event("datagram", f"receiving failed: {type(error).__name__}: {error}")
                 return
             self._dispatch(data, sender)
 
--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -177,7 +177,7 @@
         """Respond without a decision, so that every request gets a response."""
         self._environment.counters["overdue"] += 1
         log_event(
-            "broker",
+            "request",
             f"{self._spec.name} request: no decision within its timeout of {self.request.timeout:.3f} s",
         )
         return self._final_response()
--- a/applevale/runtime/gc_tuning.py
+++ b/applevale/runtime/gc_tuning.py
@@ -31,7 +31,9 @@
         if duration > MIN_LOGGED_PAUSE_SECONDS:
             generation = info["generation"]
             milliseconds = duration * 1000
-            log_event("loop", f"garbage collection of generation {generation} took {milliseconds:.0f} ms")
+            log_event(
+                "event_loop", f"garbage collection of generation {generation} took {milliseconds:.0f} ms"
+            )
 
 
 def tune_garbage_collector() -> None:
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -138,7 +138,7 @@
                 response = await handler.handle(request)
         except Exception as error:  # a bug must not leave the client without a response
             self._counters["broker_errors"] += 1
-            log_event("broker", f"{type(error).__name__}: {error}")
+            log_event("request", f"{type(error).__name__}: {error}")
             response = Failed()
         self._release_call(message_id)
         self._send_response(message_id, response, request)
--- a/tests/process.py
+++ b/tests/process.py
@@ -31,7 +31,7 @@
 EVENT_TIMEOUT_SECONDS = 20.0
 EXIT_TIMEOUT_SECONDS = 30.0
 GRACEFUL_EXIT_TIMEOUT_SECONDS = 15.0  # from the last response after SIGTERM to the exit
-LATENESS_LINE = r"^loop: "  # the event loop reports lateness, which happens on a busy machine
+LATENESS_LINE = r"^event_loop: "  # the event loop reports lateness, which happens on a busy machine
 POLL_INTERVAL_SECONDS = 0.002
 REPLY_PIECE_BYTES = 701  # no page of a reply is a multiple of it
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -154,7 +154,7 @@
     store = EjectionStore(str(path), EjectionRegistry())
     store.set_ejected(7, True, 1.0)
     path.write_bytes(path.read_bytes()[:20])
-    assert store.refresh() == [] and store.registry.ejected == {7} and "bans: " in capsys.readouterr().err
+    assert store.refresh() == [] and store.registry.ejected == {7} and "ejection: " in capsys.readouterr().err
     started_with_truncated_file = EjectionStore(str(path), EjectionRegistry())
     assert started_with_truncated_file.refresh() == []
     store.set_ejected(8, True, 2.0)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -21,19 +21,19 @@
 
 
 def test_a_plain_line_has_kind_and_text(clock, capsys):
-    events.log_event("link", "lost", engine=3)
+    events.log_event("engine_connection", "lost", engine=3)
     events.emit_event("ready", ready=True)
     events.log_unlimited("listening", "x listens", port=1)
-    assert capsys.readouterr().err == "link: lost\nx listens\n"
+    assert capsys.readouterr().err == "engine_connection: lost\nx listens\n"
 
 
 def test_a_json_line_has_fields_monotonic_time_and_instance(clock, capsys):
     events.use_json("n3")
-    events.log_event("link", "lost", engine=3)
+    events.log_event("engine_connection", "lost", engine=3)
     events.emit_event("ready", ready=True)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert lines == [
-        {"at": 100.0, "instance": "n3", "event": "link", "text": "lost", "engine": 3},
+        {"at": 100.0, "instance": "n3", "event": "engine_connection", "text": "lost", "engine": 3},
         {"at": 100.0, "instance": "n3", "event": "ready", "ready": True},
     ]
 
@@ -71,7 +71,7 @@
     def write(self, text):
         if not self.has_logged:
             self.has_logged = True
-            events.log_event("loop", "collecting took long")
+            events.log_event("event_loop", "collecting took long")
         return super().write(text)
 
 
@@ -82,7 +82,7 @@
     monkeypatch.setattr(events.sys, "stderr", stream)
     if log_format == "json":
         events.use_json("n")
-    writer = threading.Thread(target=events.log_event, args=("link", "lost"), daemon=True)
+    writer = threading.Thread(target=events.log_event, args=("engine_connection", "lost"), daemon=True)
     writer.start()
     writer.join(10)
     assert not writer.is_alive()
