--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -221,7 +221,7 @@
             self.reject_or_fail(pending)  # its answer may never come, and others of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
         if is_silent and not self._outliers.probe(engine):
-            self._outliers.eject(engine, "silent")
+            self._outliers.eject(engine, "no answer")
 
     def _cancel_to_retry(self, attempt: Attempt) -> None:
         """Cancel an attempt if its request can have another one in time."""
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -82,4 +82,4 @@
         if may_eject and not engine.health.is_open(now):
             is_first_ejection = engine.health.open(now)
             if is_first_ejection:
-                self._context.actions.append(api.Log(f"engine {engine.entry.engine_id} rests: {reason}"))
+                self._context.actions.append(api.Log(f"engine {engine.entry.engine_id} is ejected: {reason}"))
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -86,7 +86,7 @@
             if self._outliers.needs_probe(engine, pending):
                 if self._outliers.probe(engine):
                     return Route(may_open=True)
-                self._outliers.eject(engine, "silent to a probe")
+                self._outliers.eject(engine, "no answer to a probe")
                 continue
             if self._is_blocked(pending, engine):
                 continue
