--- a/applevale/__main__.py
+++ b/applevale/__main__.py
@@ -11,7 +11,7 @@
 
 def main() -> int:
     """Run the program and return its exit code."""
-    early_signals = _collect_early_signals()  # before the imports, which take time
+    early_signals = _collect_early_signals()  # the imports below take time
 
     import uvloop
 
--- a/applevale/admin/ejections.py
+++ b/applevale/admin/ejections.py
@@ -45,7 +45,7 @@
         """Create a registry without entries."""
         self.entries: dict[int, EjectionEntry] = {}
         self.ejected: set[int] = set()
-        self._engines_by_name: dict[str, int] = {}  # by instance id and HOST:PORT; former endpoints stay
+        self._engines_by_name: dict[str, int] = {}  # includes former endpoints
 
     def add_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
         """Register endpoints, so that `find` knows them by instance id and HOST:PORT."""
--- a/applevale/admin/server.py
+++ b/applevale/admin/server.py
@@ -41,7 +41,7 @@
         self._target = target
         self._counters = counters
         self._max_requests = max_requests
-        self._connections: dict[asyncio.Task, socket.socket] = {}  # in the order of acceptance
+        self._connections: dict[asyncio.Task, socket.socket] = {}  # the oldest connection is first
 
     async def serve(self, listener: socket.socket) -> None:
         """Accept and serve connections until the task is cancelled; the listener is non-blocking."""
@@ -49,7 +49,7 @@
         while True:
             try:
                 sock, _ = await loop.sock_accept(listener)
-            except OSError as error:  # for example a disconnected client, or no free file descriptor
+            except OSError as error:  # for example, the client disconnected or no file descriptor is free
                 log_event("admin", str(error))
                 await asyncio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -94,7 +94,7 @@
     is_final: bool = False  # whether it ends the request
     used_work: float = 0.0  # time on one core; 0 if unknown
     used_memory_mb: float = 0.0  # 0 if unknown
-    load_report: tuple[float, ...] = ()  # in the order of `Settings.report_columns`
+    load_report: tuple[float, ...] = ()  # values in the order of `Settings.report_columns`
 
 
 @dataclass(frozen=True)
@@ -122,7 +122,7 @@
     attempt_index: int
     engine_id: int
     kind: AttemptUpdateKind
-    value: float = 0.0  # as described at `AttemptUpdateKind`
+    value: float = 0.0  # its meaning depends on the kind, see `AttemptUpdateKind`
 
 
 @dataclass(frozen=True)
@@ -169,7 +169,7 @@
     """What another instance has sent to an engine, and the load report that it got from there."""
 
     engine_id: int
-    load_report: tuple[float, ...] = ()  # as in an outcome
+    load_report: tuple[float, ...] = ()  # values in the order of `Settings.report_columns`
     sent_threads: int = 0  # threads of the attempts that it has just sent there
 
 
--- a/applevale/dispatch/arrival_order.py
+++ b/applevale/dispatch/arrival_order.py
@@ -22,7 +22,7 @@
 TICK_SECONDS = 0.01  # interval between ticks
 MIN_REQUEST_SPACING_SECONDS = 0.05  # clients send requests with the same key at least 0.06 s apart
 STALL_SECONDS = TICK_SECONDS + 0.03  # interval between two ticks from which requests may be read out of order
-MAX_CATCH_UP_SECONDS = 1.0  # after a stall, how long requests with a key wait for the accumulated data
+MAX_CATCH_UP_SECONDS = 1.0  # longest wait of requests with a key for the data accumulated in a stall
 KEY_RETENTION_SECONDS = 30.0  # how long the last request of a key is remembered; no stall lasts longer
 
 
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -77,7 +77,7 @@
         self.action_handlers: dict[int, ActionHandler] = {}
         self.last_request_number = 0
         self.event_queue = EventQueue()
-        self.batch_due_at = 0.0  # by the loop's clock
+        self.batch_due_at = 0.0  # time by the event loop's clock
         self.batch_interval = MIN_BATCH_INTERVAL_SECONDS
         self.batch_lateness = DecayingDuration()
         self.prober = EngineProber(engine_pool, self.clock, self.submit, counters)
--- a/applevale/dispatch/event_queue.py
+++ b/applevale/dispatch/event_queue.py
@@ -33,7 +33,7 @@
         """Create an empty queue."""
         self.events: list[api.Event] = []
         self._list_update_count = 0
-        self._load_reports: dict[int, api.PeerLoadReport] = {}  # by engine
+        self._load_reports: dict[int, api.PeerLoadReport] = {}  # merged reports by engine id
 
     def add(self, event: api.Event) -> None:
         """Add an event."""
--- a/applevale/engines/attempt.py
+++ b/applevale/engines/attempt.py
@@ -187,7 +187,7 @@
             self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.REJECTED, report))
         elif status == resp.REPLY_EXPIRED and not self.page_count:
             self.finish(AttemptFailed(Progress.SENT_NOT_EXECUTED, Result.WITHDRAWN, report))
-        elif status == resp.REPLY_ERROR:  # in execution, or in fetching a page
+        elif status == resp.REPLY_ERROR:  # the execution or the fetch of a page failed
             progress = Progress.EXECUTED if self.page_count else Progress.POSSIBLY_EXECUTED
             self.finish(AttemptFailed(progress, Result.ERROR, report))
 
--- a/applevale/engines/pool.py
+++ b/applevale/engines/pool.py
@@ -74,7 +74,7 @@
         self.observer = observer or EngineObserver()
         self._is_list_confirmed = is_list_confirmed or _always_confirmed
         self._probe_tag_count = 0
-        self._corrupted_at = -CORRUPTION_SUSPICION_SECONDS  # by the event loop's clock
+        self._corrupted_at = -CORRUPTION_SUSPICION_SECONDS  # time by the event loop's clock
 
     def next_probe_tag(self) -> bytes:
         """Return a new tag for a probe or ping; the reply carries the same tag."""
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -88,7 +88,7 @@
         engine.cold_budget.level -= pending.work
         context.zone_router.on_send(context.now, engine.entry.zone, pending.work)
         self._load.threads_in_flight += spec.threads
-        timeout = 0.0  # as long as the client waits
+        timeout = 0.0  # 0 means no limit but the client's timeout
         if self._may_retry(pending) and not context.settings.may_cancel:
             max_run_time = config.ATTEMPT_TIMEOUT_FACTOR * self.overdue_after(attempt)
             timeout = min(max_run_time, pending.deadline - context.now)
--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -35,7 +35,7 @@
 
 # Load reports, the loads estimated from them, and limits on the loads of warm and of cold engines.
 REPORT_DECAY_SECONDS = 3.0  # a few of the longest queries
-REPORT_DECAY_MANY_PEERS_SECONDS = 0.8  # the same where many peers forward reports
+REPORT_DECAY_MANY_PEERS_SECONDS = 0.8  # decay time where many peers forward reports
 PEER_SEND_DECAY_SECONDS = 0.6  # time until load reports include what peers have sent
 OWN_LOAD_DECAY_SECONDS = 10.0
 REPORT_FRESH_SECONDS = 0.4
@@ -66,7 +66,7 @@
 AFFINITY_LOAD = 1.0  # load up to which the first usable engine is taken, beyond it the least loaded one
 MAX_EXAMINED_ENGINES = 6  # engines examined for one request in one pass
 MAX_CACHED_ENGINE_ORDERS = 400
-MAX_EXACT_CANDIDATES = 2  # with more candidates, instances with many peers choose by a random draw
+MAX_EXACT_CANDIDATES = 2  # above this number, instances with many peers choose by a random draw
 CANDIDATE_CLASS_SIZE = 3  # first fields of a candidate, in which equally good ones agree
 INSTANCE_HASH_BITS = 48
 TABLE_GROUP_SCALE = 16  # table groups are told apart in steps of 1 / 16
@@ -78,7 +78,7 @@
 PROBES_PER_REQUEST = 1.3  # bound of the probes that each request adds to the budget
 MAX_PROBE_BUDGET = 4.0  # probes
 PROBE_COST_SHARE = 0.0143  # largest share of a request's value that its probes may cost
-PROBE_COST_SHARE_NO_REPORTS = 0.035  # the same where only probes report load
+PROBE_COST_SHARE_NO_REPORTS = 0.035  # largest share where only probes report load
 MIN_PROBE_PRICE = 1e-9  # avoids a division by zero
 PROBE_WAIT_SECONDS = 0.06  # a probe that takes longer is a failure of its engine
 PROBE_LOST_SECONDS = 1.0  # a probe that takes longer may be sent again
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -28,7 +28,7 @@
         """Set the limits by priority, which differ only as the fleet fills up."""
         relative_load = config.PRESSURE_SLOPE * sum(self.fleet_load()) / config.THREAD_LIMIT
         pressure = min(max(relative_load - config.PRESSURE_OFFSET, 0.0), 1.0)
-        pressures = (pressure, pressure, pressure, 1.0)  # by priority; the top one has its limit at all times
+        pressures = (pressure, pressure, pressure, 1.0)  # one per priority; the top one's limit is constant
         limits = zip(config.PRIORITY_LOAD_FACTORS, pressures)
         self.thread_limits = [config.THREAD_LIMIT * (1 + (factor - 1) * weight) for factor, weight in limits]
 
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -22,7 +22,7 @@
         self.granted_mb = min(pending.grant_mb, engine.memory_mb * engine.context.settings.largest_share)
         self.result: api.Result | None = None
         self.is_cancelled = False
-        self.met_memory_pressure = False  # as reported by the engine
+        self.met_memory_pressure = False  # whether the engine reported memory pressure
         self.caused_ejection = False
 
 
@@ -43,7 +43,7 @@
         self.is_answered = False  # its final answer has been delivered
         self.is_memory_risk = False  # it may exhaust the memory of its engine
         self.waits_for_memory = False  # it needs an engine with enough free memory
-        self.features: tuple[float, ...] = ()  # for the prediction of memory pressure; empty without one
+        self.features: tuple[float, ...] = ()  # inputs of the memory pressure prediction; empty without one
         announced_work = estimators.finite_or(request.estimated_work, 0.0)
         self.work = max(self.stats.work.expect(announced_work), config.MIN_WORK_SECONDS)
         announced_mb = estimators.finite_or(max(request.estimated_memory_mb, 0.0), 0.0)
@@ -188,7 +188,8 @@
         self.settings = settings
         self.zone_router = zone_router
         self.random = Random(seed)
-        self.instance_hash = self.random.getrandbits(config.INSTANCE_HASH_BITS)  # for the order of engines
+        # The hash makes the order of engines differ between instances.
+        self.instance_hash = self.random.getrandbits(config.INSTANCE_HASH_BITS)
         self.now = -inf  # time of the present batch of events
         self.memory_pressure_at = -inf  # time of the last memory pressure on any engine
         self.actions: list[api.Action] = []  # actions of the present batch
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -41,7 +41,8 @@
         self._load = load
         self._outliers = outliers
         self.waiting: list[PendingRequest] = []
-        self.engine_orders = containers.BoundedCache(config.MAX_CACHED_ENGINE_ORDERS)  # by group and class
+        # Each entry is the order for one table group and class.
+        self.engine_orders = containers.BoundedCache(config.MAX_CACHED_ENGINE_ORDERS)
 
     def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
         """Return the engines that a request may run on, in its order of preference."""
--- a/applevale/runtime/descriptor_budget.py
+++ b/applevale/runtime/descriptor_budget.py
@@ -7,7 +7,7 @@
 from ..admin.limits import MAX_CONCURRENT_REQUESTS
 from ..config.model import Config
 
-RESERVED_DESCRIPTORS = 32  # for files, listeners, the source of the engine list, and datagrams
+RESERVED_DESCRIPTORS = 32  # descriptors for files, listeners, the engine list source and datagrams
 
 
 @dataclass(frozen=True)
--- a/applevale/runtime/ejection_control.py
+++ b/applevale/runtime/ejection_control.py
@@ -47,7 +47,7 @@
         self.ejections = EjectionRegistry()
         self.store = EjectionStore(ejection_path(listen_address), self.ejections)
         self.store.refresh()
-        endpoints.ejected = self.ejections.ejected  # the same set object, so that changes apply at once
+        endpoints.ejected = self.ejections.ejected  # a shared set object, so that changes apply at once
 
     def set_ejected(self, host: str, ejected: bool) -> bool:
         """Eject an engine or end its ejection; return False if it was never listed."""
--- a/applevale/server/connection.py
+++ b/applevale/server/connection.py
@@ -80,7 +80,7 @@
         self.calls: dict[int, OpenCall] = {}
         self.incomplete_bytes = 0
         self.invalid_requests = 0
-        self._earliest_arrival = earliest_arrival  # of the bytes that were read last
+        self._earliest_arrival = earliest_arrival  # earliest arrival time of the bytes that were read last
         self._table = table
         self._driver = driver
         self._counters = counters
--- a/applevale/server/request_parser.py
+++ b/applevale/server/request_parser.py
@@ -19,7 +19,7 @@
 MAX_ESTIMATED_WORK_MS = 1e8
 MAX_ESTIMATED_MEMORY_MB = 1e7
 MAX_ORDER_KEY = 2**64 - 1
-MAX_QUOTED_CHARACTERS = 40  # of a field's value, in an error message
+MAX_QUOTED_CHARACTERS = 40  # longer field values are truncated in error messages
 
 _REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}")
 # Idempotency keys are sent to engines in comma-separated fields, so they must not contain `,` or `=`.
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -24,7 +24,7 @@
     parse_call,
 )
 
-MAX_OPEN_CALLS = 32  # on one connection
+MAX_OPEN_CALLS = 32  # limit for one connection
 
 RESPONSE_COUNTERS = {
     Completed: "answered_served",
--- a/tests/process.py
+++ b/tests/process.py
@@ -30,7 +30,7 @@
 
 EVENT_TIMEOUT_SECONDS = 20.0
 EXIT_TIMEOUT_SECONDS = 30.0
-GRACEFUL_EXIT_TIMEOUT_SECONDS = 15.0  # from the last response after SIGTERM to the exit
+GRACEFUL_EXIT_TIMEOUT_SECONDS = 15.0  # time from the last response after SIGTERM to the exit
 LATENESS_LINE = r"^event_loop: "  # the event loop reports lateness, which happens on a busy machine
 POLL_INTERVAL_SECONDS = 0.002
 REPLY_PIECE_BYTES = 701  # no page of a reply is a multiple of it
@@ -72,7 +72,7 @@
         environment = os.environ | {"BALANCER_CONFIG": str(config_path), "BALANCER_LISTEN": listen}
         command = [sys.executable, "-m", "applevale"]
         self.popen = subprocess.Popen(command, cwd=ROOT, env=environment, stderr=subprocess.PIPE, text=True)
-        atexit.register(self.popen.kill)  # in case a failed test leaves the process running
+        atexit.register(self.popen.kill)  # a failed test may leave the process running
         self._lines: list[str] = []
         self._lines_consumed = 0
         self._log_ended = False
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -31,13 +31,13 @@
     def __init__(self, settings):
         self.settings = settings
         self.engines = {}
-        self.unready_since = {}  # by engine
+        self.unready_since = {}  # time from which an engine is not ready, by engine id
         self.requests = {}  # pairs of time of arrival and request, by id
-        self.attempts = {}  # by request id
-        self.ended_at = {}  # by request id
+        self.attempts = {}  # attempts of each request, by request id
+        self.ended_at = {}  # time of the final answer, by request id
         self.arrivals = []
         self.retries = []
-        self.paused_until = {}  # by order key
+        self.paused_until = {}  # end of the pause after an attempt that may still run, by order key
         self.ordered_requests = []
         self.stall_start = 0.0  # start and end of the last stall of the instance
         self.stall_end = 0.0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -547,7 +547,7 @@
 
 def test_a_shutdown_rejects_requests_that_wait_for_the_order_of_arrivals_to_be_known():
     async def steps(setup):
-        setup.driver.stall_monitor.order_known.clear()  # as after a stall
+        setup.driver.stall_monitor.order_known.clear()  # the state after a stall
         request = model.Request(b"1", 1, b"x", setup.driver.now(), 30.0, order_key=7)
         task = asyncio.create_task(setup.handler.handle(request))
         await asyncio.sleep(0)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -146,7 +146,7 @@
         setup.send_request(1)
         await setup.handler.request_received.wait()
         setup.server.drain()
-        setup.server.connections.drain_state.reject_from -= ACCEPT_SECONDS  # as if ACCEPT_SECONDS had passed
+        setup.server.connections.drain_state.reject_from -= ACCEPT_SECONDS  # simulates the passage of time
         setup.send_request(2)
         response = await setup.read_response()
         assert response.number == 2
@@ -207,7 +207,7 @@
         fields = {"ref": "1" * 16, "allow": "2500", "effort": "10", "space": "4"}
         data = pack_request(1, "lookup", fields, b"select * from air_1.x limit 2")
         client.send_bytes(data[:40])
-        assert probe(instance.address)  # so the earlier connection has been accepted as well
+        assert probe(instance.address)  # a response shows that the earlier connection has been accepted too
         instance.process.send_signal(signal.SIGTERM)
         wait_until(lambda: is_connection_refused(instance.address))
         client.send_bytes(data[40:])
--- a/tests/test_long_list.py
+++ b/tests/test_long_list.py
@@ -69,7 +69,7 @@
     assert driver.controller.load.engine_load(driver.controller.engines[1]) > 2
     driver.now += 5.0
     driver.handle(api.EngineList((api.EngineEntry(1, state=GONE),)))
-    driver.handle(api.PeerLoadReport(1, (40.0,), 8))  # from a peer that still has the older list
+    driver.handle(api.PeerLoadReport(1, (40.0,), 8))  # the peer still has the older list
     assert 1 not in driver.controller.engines
     driver.handle(api.EngineList((api.EngineEntry(1, started_at=driver.now - 0.5),)))
     driver.controller.load.start_batch()
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("gateways", [1, 60, 300])
 def test_a_quota_below_one_request_is_usable_and_an_excess_is_still_detected(gateways):
     """The share of one instance in a tenant's quota can be below one request per second."""
-    factors = {1.0: [], 4.0: []}  # by offered load, as a multiple of the quota
+    factors = {1.0: [], 4.0: []}  # keys are the offered load as a multiple of the quota
     for load, factors_of_load in factors.items():
         for seed in range(20):
             tenants = (api.TenantSpec("a", 30.0),)
--- a/tests/test_policy_probes.py
+++ b/tests/test_policy_probes.py
@@ -14,7 +14,7 @@
     request_id, actions = driver.submit(1, work=3.0, table_group=1.0)
     (first_probe,) = actions_of(api.Probe, actions)
     assert not actions_of(api.Send, actions)
-    (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first one had no answer
+    (second_probe,) = actions_of(api.Probe, driver.run(0.11))  # the first probe had no answer
     assert second_probe.engine_id != first_probe.engine_id
     actions = driver.handle(api.ProbeResult(second_probe.engine_id, api.Result.OK, load_report=IDLE_REPORT))
     sends = [(send.request_id, send.engine_id) for send in actions_of(api.Send, actions)]
--- a/tests/test_policy_wait_queue.py
+++ b/tests/test_policy_wait_queue.py
@@ -64,7 +64,8 @@
     short_id, _ = driver.submit(order_key=9, work=0.5, timeout=2.5)
     long_id, _ = driver.submit(order_key=9, work=0.5, timeout=20.0)
     assert not actions_of(api.Reject, driver.run(0.1))  # the request behind it has enough time
-    urgent_id, _ = driver.submit(order_key=9, work=0.1, timeout=2.6)  # in time only without the first
+    # The urgent request ends in time only if the short one is rejected.
+    urgent_id, _ = driver.submit(order_key=9, work=0.1, timeout=2.6)
     assert request_ids(api.Reject, driver.run(0.1)) == [short_id]
     sends = actions_of(api.Send, driver.finish(first, work=0.5) + driver.run(0.1))
     assert [send.request_id for send in sends] == [long_id]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -121,7 +121,8 @@
         assert admin_status(first_admin, "POST", "/engines/disable", {"host": engine_id}) == 200
         wait_until(lambda: ejected_engine_count(second_admin) == 1)
         monkeypatch.setenv("BALANCER_CONTROL", other_admin)
-        other_instance = Instance(tmp_path)  # on another address, with its ejection file in the same folder
+        # This instance has another address, but its ejection file is in the same folder.
+        other_instance = Instance(tmp_path)
         assert ejected_engine_count(other_admin) == 0
         assert admin_status(second_admin, "POST", "/engines/enable", {"host": engine_id}) == 200
         wait_until(lambda: ejected_engine_count(first_admin) == 0)
