--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -88,7 +88,7 @@
         engine.cold_budget.level -= pending.work
         context.zone_router.on_send(context.now, engine.entry.zone, pending.work)
         self._load.threads_in_flight += spec.threads
-        timeout = 0.0  # as long as the client waits
+        timeout = 0.0  # 0 means no limit but the client's timeout
         if self._may_retry(pending) and not context.settings.may_cancel:
             max_run_time = config.ATTEMPT_TIMEOUT_FACTOR * self.overdue_after(attempt)
             timeout = min(max_run_time, pending.deadline - context.now)
@@ -221,7 +221,7 @@
             self.reject_or_fail(pending)  # its answer may never come, and others of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
         if is_silent and not self._outliers.probe(engine):
-            self._outliers.eject(engine, "silent")
+            self._outliers.eject(engine, "no answer")
 
     def _cancel_to_retry(self, attempt: Attempt) -> None:
         """Cancel an attempt if its request can have another one in time."""
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -41,7 +41,8 @@
         self._load = load
         self._outliers = outliers
         self.waiting: list[PendingRequest] = []
-        self.engine_orders = containers.BoundedCache(config.MAX_CACHED_ENGINE_ORDERS)  # by group and class
+        # Each entry is the order for one table group and class.
+        self.engine_orders = containers.BoundedCache(config.MAX_CACHED_ENGINE_ORDERS)
 
     def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
         """Return the engines that a request may run on, in its order of preference."""
@@ -86,7 +87,7 @@
             if self._outliers.needs_probe(engine, pending):
                 if self._outliers.probe(engine):
                     return Route(may_open=True)
-                self._outliers.eject(engine, "silent to a probe")
+                self._outliers.eject(engine, "no answer to a probe")
                 continue
             if self._is_blocked(pending, engine):
                 continue
--- a/applevale/server/rpc_connection.py
+++ b/applevale/server/rpc_connection.py
@@ -24,7 +24,7 @@
     parse_call,
 )
 
-MAX_OPEN_CALLS = 32  # on one connection
+MAX_OPEN_CALLS = 32  # limit for one connection
 
 RESPONSE_COUNTERS = {
     Completed: "answered_served",
@@ -138,7 +138,7 @@
                 response = await handler.handle(request)
         except Exception as error:  # a bug must not leave the client without a response
             self._counters["broker_errors"] += 1
-            log_event("broker", f"{type(error).__name__}: {error}")
+            log_event("request", f"{type(error).__name__}: {error}")
             response = Failed()
         self._release_call(message_id)
         self._send_response(message_id, response, request)
