--- a/applevale/fakes/__init__.py
+++ b/applevale/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted fakes of the systems around the program, for tests and harnesses. They listen on loopback only."""
+"""Fakes of the systems around the program, for tests and harnesses; they listen on loopback only."""
--- a/applevale/fakes/client_pool.py
+++ b/applevale/fakes/client_pool.py
@@ -1,4 +1,4 @@
-"""Fake clients of one program: a steady load, and a record of every answer."""
+"""Fake clients of one program: they send requests at a mean rate and record every answer."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from ..net.addresses import Address
 
-KEY_INTERVAL_SECONDS = 0.06  # between two requests of a key
-NEW_CONNECTION_KEY_INTERVAL_SECONDS = 0.25  # behind the first request of a connection
-MAX_REPEATS = 500  # of one pool: an immediate repeat of an immediate rejection has no other end
+KEY_INTERVAL_SECONDS = 0.06  # minimum interval between two loads with the same key
+NEW_CONNECTION_KEY_INTERVAL_SECONDS = 0.25  # the same after the first request on a connection
+MAX_REPEATS = 500  # per pool; immediate repeats of immediate rejections would otherwise never end
 RECONNECT_INTERVAL_SECONDS = 0.1
-LATE_AFTER_SECONDS = 0.3  # behind a request's deadline, from when on its answer counts as lost
+ANSWER_GRACE_SECONDS = 0.3  # after a request's deadline; an answer that arrives later counts as lost
 SETTLE_POLL_SECONDS = 0.02
 READ_SIZE_BYTES = 65536
-TABLE_GROUPS = 20
+TABLE_GROUP_COUNT = 20
 
 METHOD_LOAD = "load"
 METHOD_LOOKUP = "lookup"
@@ -29,17 +29,18 @@
 
 @dataclass
 class SentRequest:
-    """A request as a client wrote it, and what came of it. Times are of the event loop's clock, in seconds.
+    """A request as a client wrote it, with its answers. Times are in seconds of the event loop's clock.
 
     Attributes:
-        request_id: The id that engines see, too.
+        request_id: The id of the request, which engines see too.
         method: The method called.
-        key: The key of a load; 0 for none.
-        sent_at: When it was written.
-        deadline: When its client gives up.
-        is_first: Whether it was the first request on its connection.
-        answers: `served` or the name of an error, one for each answer; `late` for one that came too late.
-        disconnected_at: When its connection was closed before it had an answer; 0 if it was not.
+        key: The order key of a load; 0 if the request has none.
+        sent_at: When the request was written.
+        deadline: When the client stops waiting for an answer.
+        is_first: Whether this was the first request on its connection.
+        answers: One entry for each answer: `served`, the name of an error, or `late` if the answer arrived
+            after the deadline and the grace time.
+        disconnected_at: When the connection was closed before the request had an answer; 0 if it was not.
     """
 
     request_id: str
@@ -54,17 +55,18 @@
 
 @dataclass(frozen=True)
 class ClientProfile:
-    """What the clients of a pool send, and how they behave.
+    """What the clients of a pool send and how they behave.
 
     Attributes:
-        rate: Requests a second, over all connections.
-        connection_count: How many connections there are.
-        timeout: Seconds that a request may take.
-        load_share: The share of loads among the requests.
-        key_count: How many keys the loads have.
-        reconnect: Whether a closed connection is opened again, as a client of the platform does.
-        effort_ms: The work that each request is declared to be.
-        repeat_rejected: Whether a rejected request is sent again at once, whatever the program advises.
+        rate: Mean number of requests per second over all connections.
+        connection_count: Number of connections.
+        timeout: Time allowed for each request, in seconds.
+        load_share: Share of the requests that are loads, from 0 to 1.
+        key_count: Number of different order keys of the loads.
+        reconnect: Whether a closed connection is opened again, as the clients of the platform do.
+        effort_ms: Work that each request declares, in milliseconds.
+        repeat_rejected: Whether a rejected request without a key is sent again at once, even if the program
+            advises a delay.
     """
 
     rate: float
@@ -78,21 +80,21 @@
 
 
 class ClientConnection:
-    """One connection of the pool: its writer, and the requests sent on it by their message number."""
+    """One connection of the pool, with the requests sent on it by message number."""
 
     def __init__(self, writer: asyncio.StreamWriter):
-        """Send on `writer`, without any request yet."""
+        """Create a connection that sends through `writer`."""
         self.writer = writer
         self.requests: dict[int, SentRequest] = {}
         self.last_number = 0
 
-    def next_number(self) -> int:
+    def next_message_number(self) -> int:
         """Return the message number of the next request."""
         self.last_number += 1
         return self.last_number
 
     def record_disconnect(self, now: float) -> None:
-        """Close the writer and mark the requests that have no answer."""
+        """Close the writer and mark the unanswered requests as disconnected."""
         self.writer.close()
         for request in self.requests.values():
             if not request.answers:
@@ -100,28 +102,29 @@
         self.requests = {}
 
     def replace_writer(self, writer: asyncio.StreamWriter) -> None:
-        """Continue on a new connection, whose message numbers start again."""
+        """Continue with a new TCP connection, on which message numbers start at 1 again."""
         self.writer = writer
         self.last_number = 0
 
 
 class ClientPool:
-    """Connections to one program, with requests at a rate on them.
+    """Connections to one program, over which requests are sent at a mean rate.
 
-    Some requests are loads with a key. Loads of one key are sent some time apart, as the platform's are.
+    Some requests are loads with an order key. Loads with the same key are sent at a minimum interval, as on
+    the platform.
 
     Attributes:
         sent: All requests, in the order in which they were written.
-        lost_connections: Connections that the program closed.
+        lost_connections: Number of connections that the program closed.
     """
 
     def __init__(self, address: Address, random: Random, profile: ClientProfile):
         """Prepare the pool; `start` opens its connections.
 
         Args:
-            address: Where the program listens.
-            random: Draws the times, kinds, keys and connections of the requests.
-            profile: What the clients send, and how they behave.
+            address: The address at which the program listens.
+            random: Source of the times, methods, keys and connections of the requests.
+            profile: What the clients send and how they behave.
         """
         self.address = address
         self.random = random
@@ -134,7 +137,7 @@
         self.readers: list[asyncio.Task] = []
 
     async def start(self) -> None:
-        """Open all connections and begin to read answers."""
+        """Open all connections and start to read answers."""
         for _ in range(self.profile.connection_count):
             reader, writer = await asyncio.open_connection(*self.address)
             connection = ClientConnection(writer)
@@ -142,7 +145,7 @@
             self.readers.append(asyncio.create_task(self._read(reader, connection)))
 
     async def run(self, until: float) -> None:
-        """Send requests at random intervals until that time by the event loop's clock."""
+        """Send requests at random intervals until the event loop's clock reaches `until`."""
         loop = asyncio.get_running_loop()
         earliest_by_key: dict[int, float] = {}
         while loop.time() < until:
@@ -157,24 +160,24 @@
                 earliest_by_key[key] = request.sent_at + interval
 
     def send(self, method: str, key: int = 0) -> SentRequest | None:
-        """Write a request to a random connection; return None if none is open."""
+        """Write a request to a random open connection and return it; return None if no connection is open."""
         open_connections = [
             connection for connection in self.connections if not connection.writer.is_closing()
         ]
         if not open_connections:
             return None
         connection = self.random.choice(open_connections)
-        number = connection.next_number()
+        number = connection.next_message_number()
         request_id = f"{self.random.getrandbits(64):016x}"
         now = asyncio.get_running_loop().time()
         request = SentRequest(request_id, method, key, now, now + self.profile.timeout, number == 1)
-        parameters = [self._fields(request_id, key), self._statement(key)]
+        parameters = [self._request_fields(request_id, key), self._random_statement(key)]
         connection.requests[number] = request
         self.sent.append(request)
         connection.writer.write(msgpack.packb([0, number, method, parameters]))
         return request
 
-    def _fields(self, request_id: str, key: int) -> dict[str, str]:
+    def _request_fields(self, request_id: str, key: int) -> dict[str, str]:
         fields = {
             "ref": request_id,
             "allow": f"{self.profile.timeout * 1000:.0f}",
@@ -185,8 +188,8 @@
             fields["lookup"] = f"{key:x}"
         return fields
 
-    def _statement(self, key: int) -> bytes:
-        group = self.random.randint(1, TABLE_GROUPS)
+    def _random_statement(self, key: int) -> bytes:
+        group = self.random.randint(1, TABLE_GROUP_COUNT)
         verb = "insert into" if key else "select * from"
         return f"{verb} air_{group}.x".encode()
 
@@ -198,14 +201,14 @@
             connection.record_disconnect(loop.time())
             if not self.profile.reconnect:
                 return
-            reader, writer = await self._open_again()
+            reader, writer = await self._reconnect()
             connection.replace_writer(writer)
 
-    async def _open_again(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def _reconnect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         while True:
             try:
                 return await asyncio.open_connection(*self.address)
-            except OSError:  # the program has ended, and may be started again
+            except OSError:  # The program is not running and may be started again.
                 await asyncio.sleep(RECONNECT_INTERVAL_SECONDS)
 
     async def _read_answers(self, reader: asyncio.StreamReader, connection: ClientConnection) -> None:
@@ -221,17 +224,17 @@
             pass
 
     def _record_answer(self, request: SentRequest, answer: str) -> None:
-        is_in_time = asyncio.get_running_loop().time() <= request.deadline + LATE_AFTER_SECONDS
+        is_in_time = asyncio.get_running_loop().time() <= request.deadline + ANSWER_GRACE_SECONDS
         request.answers.append(answer if is_in_time else ANSWER_LATE)
         if answer == ANSWER_REJECTED and not request.key and self.repeat_count < self.repeat_limit:
             self.repeat_count += 1
             self.send(request.method)
 
     async def settle(self) -> None:
-        """Wait until each request has its answer, or its time has passed."""
+        """Wait until each request has been answered or its deadline and the grace time have passed."""
         loop = asyncio.get_running_loop()
         while any(
-            not request.answers and loop.time() < request.deadline + LATE_AFTER_SECONDS
+            not request.answers and loop.time() < request.deadline + ANSWER_GRACE_SECONDS
             for request in self.sent
         ):
             await asyncio.sleep(SETTLE_POLL_SECONDS)
@@ -245,11 +248,11 @@
             connection.writer.close()
 
     def stats(self) -> Counter:
-        """Count the answers by their name, and the requests by what went wrong.
+        """Count the answers by name and the requests by failure.
 
         Returns:
-            Besides the answers: `requests`; `lost`, those without an answer in time; `cut`, those of the lost
-            whose connection was closed; `twice`, those with more than one answer.
+            The number of answers by name, and the following numbers of requests: `requests` (all), `lost` (no
+            answer in time), `cut` (connection closed before the answer), `twice` (more than one answer).
         """
         counts = Counter(answer for request in self.sent for answer in request.answers)
         counts["requests"] = len(self.sent)
--- a/applevale/fakes/cold_engine.py
+++ b/applevale/fakes/cold_engine.py
@@ -1,4 +1,4 @@
-"""A fake engine that starts cold and fails under overload, by the operators' rule on cold engines."""
+"""A fake engine that starts cold and fails under overload, as the operators describe cold engines."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 from .engine import CMD_EXECUTE, FakeEngine
 
-CORES = 8.0
-WORK_PER_ATTEMPT_SECONDS = 0.4  # on one core
-COLD_CAPACITY_SHARE = 0.33  # at the start of the process
-WARM_UP_SECONDS = 15.0  # until it has its whole capacity
+CORE_COUNT = 8.0
+WORK_PER_ATTEMPT_SECONDS = 0.4  # CPU time on one core
+COLD_CAPACITY_SHARE = 0.33  # share of the full capacity when the process starts
+WARM_UP_SECONDS = 15.0  # time from the start to the full capacity
 OVERLOAD_WINDOW_SECONDS = 1.5
-OVERLOAD_FACTOR = 4.0  # it fails when it is sent more than this many times its capacity over the window
-ALWAYS_WARM = -1e9  # a start long ago
+OVERLOAD_FACTOR = 4.0  # the engine fails when the work sent in a window exceeds this multiple of its capacity
+ALWAYS_WARM = -1e9  # start time that is long past
 
 
 class ColdEngine(FakeEngine):
-    """An engine whose capacity grows after its start, and which fails for good when it is overloaded.
+    """An engine whose capacity grows after its start and that fails permanently when it is overloaded.
 
     Attributes:
-        started_at: When its process started, by the monotonic clock in seconds.
-        recent_attempts: When each attempt within the window arrived.
-        failed_at: When it failed, or None.
-        peak_overload: The greatest work sent in a window, as a share of what makes it fail.
+        started_at: When its process started, in seconds of the monotonic clock.
+        recent_attempts: Arrival times of the attempts within the window.
+        failed_at: When the engine failed, or None.
+        peak_overload: Largest ratio of the work sent in a window to the work at which the engine fails.
     """
 
     def __init__(self, random: Random, started_at: float = ALWAYS_WARM):
-        """Prepare an engine that started at the given time; by default it is warm."""
+        """Create an engine that started at the given time; by default it is warm."""
         super().__init__(
             random,
             duration_range=(WORK_PER_ATTEMPT_SECONDS / 2, WORK_PER_ATTEMPT_SECONDS),
@@ -42,7 +42,7 @@
         self.peak_overload = 0.0
 
     def capacity_share(self, now: float) -> float:
-        """Return the share of its whole capacity that it has now, from the cold share to 1."""
+        """Return the current share of the full capacity, from `COLD_CAPACITY_SHARE` to 1."""
         uptime = max(0.0, now - self.started_at)
         return min(1.0, COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * uptime / WARM_UP_SECONDS)
 
@@ -66,7 +66,7 @@
         while self.recent_attempts[0] < now - OVERLOAD_WINDOW_SECONDS:
             self.recent_attempts.popleft()
         work = len(self.recent_attempts) * WORK_PER_ATTEMPT_SECONDS
-        limit = OVERLOAD_FACTOR * OVERLOAD_WINDOW_SECONDS * CORES * self.capacity_share(now)
+        limit = OVERLOAD_FACTOR * OVERLOAD_WINDOW_SECONDS * CORE_COUNT * self.capacity_share(now)
         self.peak_overload = max(self.peak_overload, work / limit)
 
     def _fail(self, now: float) -> None:
--- a/applevale/fakes/consul.py
+++ b/applevale/fakes/consul.py
@@ -1,4 +1,4 @@
-"""A fake Consul member: blocking reads of keys over HTTP, on a store that members may share."""
+"""A fake Consul member: plain and blocking reads of keys over HTTP, from a store that members may share."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class Member:
-    """One member of the cluster, with faults that can be switched on.
+    """One member of the cluster, with faults that tests can switch on.
 
     Attributes:
-        stale_store: A frozen store that it answers from in place of the common one.
-        rejects_credentials: Whether it rejects all credentials.
-        silences_watches: Whether it leaves blocking reads unanswered.
-        resets_index: Whether its index starts again at 1, as after a new start of the store.
-        retry_after: Whole seconds for which it asks to be left alone, as it rejects all calls for its load;
-            None if it does not.
-        full_read_delay: Seconds that a full read takes.
+        stale_store: Frozen copy of the store to answer from instead of the shared one; None for no fault.
+        rejects_credentials: Whether all credentials are rejected.
+        silences_watches: Whether blocking reads end only at their timeout, even if a key has changed.
+        resets_index: Whether the index is 1 again, as after a restart of the store.
+        retry_after: If not None, all reads are rejected as rate-limited, with this many whole seconds in
+            `Retry-After`.
+        full_read_delay: Delay of a full read, in seconds.
     """
 
     def __init__(self, store: KeyValueStore, token: str = ""):
-        """Prepare a member on a free port; without a token it serves everybody."""
+        """Create a member that will listen on a free port; with an empty token it accepts every caller."""
         self.store = store
         self.token = token
         self.stale_store: KeyValueStore | None = None
@@ -43,11 +43,11 @@
 
     @property
     def visible_store(self) -> KeyValueStore:
-        """The store that it answers from."""
+        """The store that reads are answered from."""
         return self.stale_store or self.store
 
     async def start(self, tls: ssl.SSLContext | None = None) -> None:
-        """Listen; `address` holds the port from then on."""
+        """Start to listen and set `address` to the port in use."""
         app = web.Application()
         app.router.add_get("/v1/kv/{prefix:.*}", self._read)
         self.runner = web.AppRunner(app, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS, access_log=None)
@@ -61,7 +61,7 @@
         await self.runner.cleanup()
 
     def _index(self) -> int:
-        """The index of the whole store: higher than the prefix's own where other keys changed."""
+        """Return the index of the whole store, which also grows when keys outside the prefix change."""
         return 1 if self.resets_index else self.visible_store.revision
 
     async def _read(self, request: web.Request) -> web.Response:
@@ -82,14 +82,14 @@
             raise web.HTTPNotFound(headers=headers)
         if "keys" in request.query:
             return web.json_response([version.key.decode() for version in versions], headers=headers)
-        return web.json_response([_entry(version) for version in versions], headers=headers)
+        return web.json_response([_json_entry(version) for version in versions], headers=headers)
 
     def _check_load(self) -> None:
         if self.retry_after is not None:
             raise web.HTTPTooManyRequests(headers={"Retry-After": str(self.retry_after)})
 
     async def _wait_for_change(self, index: int, timeout: float) -> None:
-        """Wait until the index has changed, the time is over, or calls are rejected."""
+        """Wait until the index differs from `index`, `timeout` seconds pass or reads are rejected."""
         changed = asyncio.Event()
         self.store.changed.add(changed)
         try:
@@ -103,7 +103,7 @@
             self.store.changed.discard(changed)
 
 
-def _entry(version: KeyVersion) -> dict:
+def _json_entry(version: KeyVersion) -> dict:
     return {
         "Key": version.key.decode(),
         "Value": base64.b64encode(version.value).decode(),
--- a/applevale/fakes/engine.py
+++ b/applevale/fakes/engine.py
@@ -1,4 +1,4 @@
-"""A fake engine: it answers attempts after a random time, and records what arrived and when."""
+"""A fake engine that answers attempts after a random time and records every arrival."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     """An attempt as the engine received it.
 
     Attributes:
-        received_at: By the engine's clock, in seconds.
-        request_id: The id that the request has in all its attempts.
-        class_name: The class of its request.
-        caller: The IP address that it came from.
+        received_at: When it arrived, in seconds of the engine's clock.
+        request_id: The id of the request, the same in all its attempts.
+        class_name: The class of the request.
+        caller: The IP address of the caller.
     """
 
     received_at: float
@@ -38,19 +38,24 @@
 
 @dataclass(frozen=True)
 class ConnectionArrival:
-    """A connection as the engine accepted it: when, by its clock, and from which IP address."""
+    """A connection as the engine accepted it.
+
+    Attributes:
+        accepted_at: When it was accepted, in seconds of the engine's clock.
+        caller: The IP address of the caller.
+    """
 
     accepted_at: float
     caller: str
 
 
 class FakeEngine:
-    """An engine that executes every attempt within a range of durations.
+    """An engine that answers every attempt after a duration drawn from a range.
 
     Attributes:
-        arrivals: The attempts received, in their order.
-        connects: The connections accepted, in their order.
-        running: The ids of the attempts that are being executed.
+        arrivals: The attempts received, in order of arrival.
+        connects: The connections accepted, in order of arrival.
+        running: The request ids of the attempts being executed.
     """
 
     def __init__(
@@ -60,13 +65,13 @@
         clock: Callable[[], float] = time.time,
         reported_work_ms: int = 12,
     ):
-        """Prepare an engine on a free port.
+        """Create an engine that will listen on a free port.
 
         Args:
-            random: Draws the durations.
-            duration_range: The least and the greatest duration of an attempt, in seconds.
-            clock: Gives the times of what is recorded, in seconds.
-            reported_work_ms: The work that each answer reports.
+            random: Source of the durations.
+            duration_range: Minimum and maximum duration of an attempt, in seconds.
+            clock: Returns the time used for recorded events, in seconds.
+            reported_work_ms: Work that each answer reports, in milliseconds.
         """
         self.random = random
         self.duration_range = duration_range
@@ -81,12 +86,12 @@
         self.address = ("127.0.0.1", 0)
 
     async def start(self) -> None:
-        """Listen; `address` holds the port from then on."""
+        """Start to listen and set `address` to the port in use."""
         self.server = await asyncio.start_server(self._serve_connection, *self.address)
         self.address = self.server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Close the listener, abort all connections and cancel what runs."""
+        """Close the listener, abort all connections and cancel all executions."""
         self.server.close()
         self._abort_connections()
         for task in list(self.tasks):
--- a/applevale/fakes/etcd.py
+++ b/applevale/fakes/etcd.py
@@ -1,4 +1,4 @@
-"""A fake etcd member: Range, Watch and Authenticate over gRPC, on a store that members may share."""
+"""A fake etcd member: Range, Watch and Authenticate over gRPC, from a store that members may share."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass
 class ReadRecord:
-    """A read as the member saw it. Times are of the monotonic clock, in seconds.
+    """A read as the member observed it. Times are in seconds of the monotonic clock.
 
     Attributes:
-        began_at: When it arrived.
-        caller: The caller's address, IP:PORT.
-        is_full: Whether it asked for the keys, and not only for their number.
-        ended_at: When it was answered, rejected or broken off.
-        is_answered: Whether it was answered.
+        began_at: When the read arrived.
+        caller: The caller's address, as IP:PORT.
+        is_full: Whether the read asked for the keys and values instead of only their number.
+        ended_at: When the read was answered, rejected or aborted.
+        is_answered: Whether the read was answered.
     """
 
     began_at: float
@@ -38,7 +38,7 @@
 
 
 class _Server(Server):
-    """A gRPC server that knows its connections, and serves none that is established after `close`."""
+    """A gRPC server that tracks its connections and serves none that is established after `close`."""
 
     def __init__(self, handlers: list, member: Member):
         super().__init__(handlers)
@@ -57,8 +57,8 @@
         transports = []
 
         def connection_made(transport: asyncio.Transport) -> None:
-            # The event loop may have accepted it before `close` and report it only now: `Member.stop` could
-            # not abort what it did not know of, and this connection alone would be served on and on.
+            # The event loop may have accepted this connection before `close` and report it only now.
+            # `Member.stop` did not know of it and could not abort it; without this check it would be served.
             if self.is_closed:
                 transport.abort()
                 return
@@ -81,19 +81,20 @@
 
 
 class Member:
-    """One member of the cluster, with faults that can be switched on.
+    """One member of the cluster, with faults that tests can switch on.
 
     Attributes:
-        stale_store: A frozen store that it answers from in place of the common one.
-        rejects_credentials: Whether it rejects all credentials.
-        silences_watches: Whether its watches send nothing, while reads go on.
+        stale_store: Frozen copy of the store to answer from instead of the shared one; None for no fault.
+        rejects_credentials: Whether all credentials are rejected.
+        silences_watches: Whether watches send nothing while reads are still answered.
         duplicates_events: Whether each event is sent twice.
-        full_read_delay: Seconds that a full read takes.
-        call_delay: Seconds that each call takes besides.
-        capacity: That of the service; members may share it.
+        full_read_delay: Delay of a full read, in seconds.
+        call_delay: Delay of every read, added to that of full reads, in seconds.
+        capacity: Capacity of the service; several members may share one.
         on_read: Called with each read when it has ended.
-        on_session_change: Called with the caller's address and whether its connection opened or closed.
-        connections: The open connections, and the address of the caller of each.
+        on_session_change: Called with the caller's address and True when a connection opens, False when it
+            closes.
+        connections: The caller's address of each open connection.
     """
 
     def __init__(
@@ -102,7 +103,13 @@
         users: dict[str, str] | None = None,
         capacity: ServiceCapacity | None = None,
     ):
-        """Prepare a member on a free port; `users` are the names and tokens it accepts, by default all."""
+        """Create a member that will listen on a free port.
+
+        Args:
+            store: The keys to serve.
+            users: Token of each user; without users, calls need no token.
+            capacity: Capacity of the service; unlimited by default.
+        """
         self.store = store
         self.users = users or {}
         self.stale_store: KeyValueStore | None = None
@@ -122,17 +129,17 @@
 
     @property
     def visible_store(self) -> KeyValueStore:
-        """The store that it answers from."""
+        """The store that reads and watches are answered from."""
         return self.stale_store or self.store
 
     async def start(self, tls: ssl.SSLContext | None = None) -> None:
-        """Listen; `address` holds the port from then on."""
+        """Start to listen and set `address` to the port in use."""
         self.server = _Server([self], member=self)
         await self.server.start(*self.address, ssl=tls)
         self.address = self.server._server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
-        """Close the listener and all connections; no call is answered once this returns."""
+        """Close the listener and all connections; no call is answered after this returns."""
         self.server.close()
         self.abort_connections()
         await self.server.wait_closed()
@@ -143,7 +150,7 @@
             transport.abort()
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the handlers of the calls, as grpclib asks for them."""
+        """Return the handler of each call, as grpclib requires."""
         return {
             m.RANGE: Handler(self._range, Cardinality.UNARY_UNARY, m.RangeRequest, m.RangeResponse),
             m.WATCH: Handler(self._watch, Cardinality.STREAM_STREAM, m.WatchRequest, m.WatchResponse),
@@ -153,7 +160,7 @@
         }
 
     def header(self) -> object:
-        """Return the header of an answer as of now."""
+        """Return a response header with the current revision."""
         revision = self.visible_store.revision
         return m.ResponseHeader(cluster_id=self.store.cluster_id, member_id=1, revision=revision)
 
--- a/applevale/fakes/etcd_watch.py
+++ b/applevale/fakes/etcd_watch.py
@@ -1,4 +1,4 @@
-"""A watch of a fake etcd member: the events of one stream, from the store that the member answers from."""
+"""The watch streams of a fake etcd member, which send the changes of the member's visible store."""
 
 from __future__ import annotations
 
@@ -15,82 +15,82 @@
     from .etcd import Member
 
 MAX_EVENTS_PER_MESSAGE = 500
-PROGRESS_WATCH_ID = -1  # of an answer to a progress request, which holds for all watches of a stream
+PROGRESS_WATCH_ID = -1  # in the answer to a progress request, which covers all watches of a stream
 
 
 class WatchStream:
-    """Sends the events of a range of keys until the watch is cancelled or its client has closed it.
+    """Sends the events of a range of keys until the watch is cancelled or its client closes the stream.
 
     Attributes:
-        next_revision: The first revision that has not been sent.
+        next_revision: The first revision whose events have not been sent.
     """
 
     def __init__(self, member: Member, stream: Stream, create_request: object):
-        """Prepare to serve `stream` as its request to create a watch says."""
+        """Create the watch that `create_request` asks for on `stream`."""
         self.member = member
         self.stream = stream
         self.key: bytes = create_request.key
         self.range_end: bytes = create_request.range_end
         self.next_revision: int = create_request.start_revision
-        self._sending = asyncio.Lock()
+        self._send_lock = asyncio.Lock()
         self._changed = asyncio.Event()
 
     async def serve(self) -> None:
-        """Confirm the watch, and send events as they come; return when it has ended."""
+        """Confirm the watch and send events as changes are committed; return when the watch has ended."""
         member = self.member
         await self.stream.send_message(m.WatchResponse(header=member.header(), created=True))
         member.visible_store.changed.add(self._changed)
-        answering = asyncio.create_task(self._answer_progress_requests())
+        progress_task = asyncio.create_task(self._answer_progress_requests())
         try:
-            await self._send_changes(answering)
+            await self._send_events_until(progress_task)
         except (StreamTerminatedError, ConnectionError):
             pass
         finally:
-            answering.cancel()
+            progress_task.cancel()
             for store in (member.store, member.visible_store):
                 store.changed.discard(self._changed)
 
-    async def _send_changes(self, answering: asyncio.Task) -> None:
-        """Send events as they come, until the watch is cancelled or `answering` is done."""
-        while not answering.done():
-            if not await self._send_due_events():
+    async def _send_events_until(self, progress_task: asyncio.Task) -> None:
+        """Send events as changes are committed, until the watch is cancelled or `progress_task` is done."""
+        while not progress_task.done():
+            if not await self._send_pending_events():
                 return
-            waiting = asyncio.create_task(self._changed.wait())
+            change_task = asyncio.create_task(self._changed.wait())
             try:
-                await asyncio.wait({waiting, answering}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({change_task, progress_task}, return_when=asyncio.FIRST_COMPLETED)
             finally:
-                waiting.cancel()
+                change_task.cancel()
             self._changed.clear()
 
     async def _answer_progress_requests(self) -> None:
-        """Answer requests for the progress until the client closes the stream."""
+        """Answer progress requests until the client closes the stream."""
         try:
             while (request := await self.stream.recv_message()) is not None:
                 if request.HasField("progress_request") and not self.member.silences_watches:
-                    await self._send_due_events()
+                    await self._send_pending_events()
                     await self._send_progress()
         except (StreamTerminatedError, ConnectionError):
             pass
 
     async def _send_progress(self) -> None:
-        async with self._sending:
+        async with self._send_lock:
             await self.stream.send_message(
                 m.WatchResponse(header=self.member.header(), watch_id=PROGRESS_WATCH_ID)
             )
 
-    async def _send_due_events(self) -> bool:
-        """Send all events that are due; return False once the watch was cancelled."""
-        async with self._sending:
+    async def _send_pending_events(self) -> bool:
+        """Send all pending events; return False if the watch had to be cancelled because of a compaction."""
+        async with self._send_lock:
             while not self.member.silences_watches:
                 store = self.member.visible_store
                 try:
-                    due = store.changes_since(self.next_revision, self.key, self.range_end)
+                    pending = store.changes_since(self.next_revision, self.key, self.range_end)
                 except CompactedError:
                     await self.stream.send_message(self._cancellation())
                     return False
-                if not due:
+                if not pending:
                     break
-                await self._send_events(due[:MAX_EVENTS_PER_MESSAGE])
+                await self._send_events(pending[:MAX_EVENTS_PER_MESSAGE])
         return True
 
     async def _send_events(self, versions: list[KeyVersion]) -> None:
@@ -112,7 +112,7 @@
 
 
 def key_value(version: KeyVersion) -> object:
-    """Return the message of a key's version."""
+    """Return the etcd message for a version of a key."""
     return m.KeyValue(
         key=version.key,
         create_revision=version.create_revision,
--- a/applevale/fakes/faulty_proxy.py
+++ b/applevale/fakes/faulty_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy in front of a fake server that can behave as broken networks do."""
+"""A TCP proxy in front of a fake server that can imitate network faults."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from ..fault_injection.tcp_relay import RelayConnection, RelayProxy, RelayStream
 from ..net.addresses import Address
 
-MAX_CHUNK_BYTES = 65536  # the most that one fault spoils of an answer
-MAX_BUFFERED_BYTES = 2 * MAX_CHUNK_BYTES  # in one direction of a connection; beyond, its sender is not read
+MAX_CHUNK_BYTES = 65536  # maximum part of an answer that one fault corrupts
+MAX_BUFFERED_BYTES = 2 * MAX_CHUNK_BYTES  # per direction of a connection; above it, reading is paused
 
 
 class ProxyMode(Enum):
-    """What the proxy does with connections and bytes."""
+    """How the proxy treats connections and data."""
 
     PASS = "pass"
-    REFUSE = "refuse"  # accept no connection
-    STALL = "stall"  # keep all connections open, and pass nothing
-    HALF = "half"  # cut the next answer off in its middle; then pass again
-    GARBAGE = "garbage"  # replace the next answer by random bytes; then pass again
+    REFUSE = "refuse"  # abort new connections
+    STALL = "stall"  # keep all connections open, but forward no data
+    HALF = "half"  # forward half of the next chunk of an answer, abort its connection, return to PASS
+    GARBAGE = "garbage"  # replace the next chunk of an answer by random bytes, return to PASS
 
 
 class _FaultyStream(RelayStream):
-    """Passes bytes on unless the proxy stalls; its end, and that of its sender, abort the connection."""
+    """Forwards data unless the proxy stalls; aborts the connection once the sender has closed its side."""
 
     def __init__(self, proxy: FaultyProxy, connection: RelayConnection):
         super().__init__()
@@ -44,11 +44,11 @@
             self.reader.pause_reading()
 
     def flush(self) -> None:
-        """Write all that is buffered, unless the proxy stalls or the receiver is slow."""
+        """Write all buffered data, unless the proxy stalls or the receiver's buffer is full."""
         while self.buffer and self._may_write():
             data = self.buffer.popleft()
             self.buffered_bytes -= len(data)
-            self.pass_on(data)
+            self.write_chunk(data)
         can_read = self.reader is not None and not self.reader.is_closing()
         if can_read and self.buffered_bytes <= MAX_BUFFERED_BYTES:
             self.reader.resume_reading()
@@ -58,8 +58,8 @@
     def _may_write(self) -> bool:
         return self.can_write and not self.is_writing_paused and self.proxy.mode is not ProxyMode.STALL
 
-    def pass_on(self, data: bytes) -> None:
-        """Write one chunk."""
+    def write_chunk(self, data: bytes) -> None:
+        """Write one chunk to the receiver."""
         self.writer.write(data)
 
     def end(self) -> None:
@@ -70,7 +70,7 @@
         self.end()
 
     def cancel_timer(self) -> None:
-        """Do nothing: a flush is never scheduled."""
+        """Do nothing, because this stream never schedules a flush."""
 
     def resume_writing(self) -> None:
         super().resume_writing()
@@ -78,9 +78,9 @@
 
 
 class _AnswerStream(_FaultyStream):
-    """Spoils the next chunk in the modes HALF and GARBAGE."""
+    """Corrupts the next chunk in the modes HALF and GARBAGE."""
 
-    def pass_on(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         mode = self.proxy.mode
         if mode in (ProxyMode.HALF, ProxyMode.GARBAGE):
             self.proxy.mode = ProxyMode.PASS
@@ -91,51 +91,51 @@
             self.buffer.clear()
             self.buffered_bytes = 0
             self.is_ending = True
-        super().pass_on(data)
+        super().write_chunk(data)
 
 
 class FaultyProxy(RelayProxy):
-    """A proxy on loopback. A change of the mode holds for open connections, too.
+    """A proxy on loopback whose mode applies to new and open connections alike.
 
     Attributes:
-        mode: The mode now; `set_mode` changes it.
+        mode: The current mode; `set_mode` changes it.
     """
 
     def __init__(self, target: Address, random: Random):
-        """Prepare a proxy to the target; `random` draws the bytes of GARBAGE."""
+        """Create a proxy to `target`; `random` is the source of the bytes of GARBAGE."""
         super().__init__(target)
         self.random = random
         self.mode = ProxyMode.PASS
 
     def set_mode(self, mode: ProxyMode) -> None:
-        """Change the mode."""
+        """Change the mode; data that a stall held back is forwarded soon after the stall ends."""
         self.mode = mode
         if mode is not ProxyMode.STALL:
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Write what a stall has held back."""
+        """Write the data that a stall held back."""
         for connection in list(self._relay.connections):
             connection.requests.flush()
             connection.answers.flush()
 
     def abort_connections(self) -> None:
-        """Abort all connections, on both sides."""
+        """Abort all established connections, on both sides."""
         for connection in list(self._relay.connections):
             if connection.is_established:
                 connection.abort()
 
     def accepts(self, caller: Address) -> bool:
-        """Return whether connections are accepted now."""
+        """Return whether new connections are accepted in the current mode."""
         return self.mode is not ProxyMode.REFUSE
 
     async def wait_until_connectable(self, caller: Address) -> None:
-        """Return at once: the server is always connected to."""
+        """Return at once, because no mode delays the connection to the server."""
 
     def create_request_stream(self, connection: RelayConnection) -> RelayStream:
-        """Return a stream that only stalls."""
+        """Return a stream that can stall, but does not corrupt data."""
         return _FaultyStream(self, connection)
 
     def create_answer_stream(self, connection: RelayConnection) -> RelayStream:
-        """Return a stream that stalls and spoils answers."""
+        """Return a stream that can stall and can corrupt answers."""
         return _AnswerStream(self, connection)
--- a/applevale/fakes/key_value_store.py
+++ b/applevale/fakes/key_value_store.py
@@ -1,4 +1,4 @@
-"""A store of keys with revisions, history, compaction and leases, behind both kinds of fake registry."""
+"""A key-value store with revisions, history, compaction and leases; the back end of both fake registries."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True)
 class KeyVersion:
-    """A key as of one revision.
+    """The state of a key after one change.
 
     Attributes:
         key: The key.
-        revision: The revision that wrote this version.
+        revision: The revision of the change.
         create_revision: The revision that created the key.
-        value: The value, or None where the revision deleted the key.
+        value: The value, or None if the change deleted the key.
     """
 
     key: bytes
@@ -28,33 +28,33 @@
 
 @dataclass(frozen=True)
 class Commit:
-    """A change, and when it was committed by the store's clock."""
+    """A change of a key, with the time of its commit in seconds of the store's clock."""
 
     committed_at: float
     version: KeyVersion
 
 
 class CompactedError(Exception):
-    """What lies before the revision is no longer kept."""
+    """The history at the requested revision has been compacted."""
 
 
 class KeyValueStore:
-    """Keys and values, each change of which has a revision.
+    """Keys and values; each change has a revision of its own.
 
-    Invariants: `history` is in the order of revisions, and holds all behind `compacted_revision`;
+    Invariants: `history` holds all changes after `compacted_revision`, sorted by revision;
     `sorted_keys` holds the keys of `current`.
 
     Attributes:
         revision: The revision of the last change.
-        compacted_revision: The revision up to which the history is gone.
+        compacted_revision: The last revision whose history has been dropped.
         cluster_id: The id of the cluster, which a restore may change.
-        current: The latest version of each key that exists.
-        commits: Every change ever made, also those that a restore undid.
-        changed: Events that are set at each change.
+        current: The latest version of each existing key.
+        commits: Every change ever made, including those that a restore undid.
+        changed: Events of the waiting readers, set at each change.
     """
 
     def __init__(self, clock: Callable[[], float] = time.time):
-        """Create an empty store whose commits have the times of that clock, in seconds."""
+        """Create an empty store; `clock` returns the commit times, in seconds."""
         self.clock = clock
         self.revision = 1
         self.compacted_revision = 0
@@ -69,23 +69,23 @@
         self.changed: set[asyncio.Event] = set()
 
     def put(self, key: bytes, value: bytes, lease_seconds: float | None = None) -> int:
-        """Write a key and return the revision; a lease deletes the key unless it is put again in time."""
-        former_lease = self.leases.pop(key, None)
-        if former_lease is not None:
-            former_lease.cancel()
+        """Write a key and return the revision; a lease deletes the key unless it is written again in time."""
+        previous_lease = self.leases.pop(key, None)
+        if previous_lease is not None:
+            previous_lease.cancel()
         if lease_seconds is not None:
             loop = asyncio.get_running_loop()
             self.leases[key] = loop.call_later(lease_seconds, self.delete, key)
         return self._commit(key, value)
 
     def delete(self, key: bytes) -> int:
-        """Delete a key, if it exists, and return the revision."""
+        """Delete a key if it exists; return the revision of the store."""
         return self._commit(key, None) if key in self.current else self.revision
 
     def _commit(self, key: bytes, value: bytes | None) -> int:
         self.revision += 1
-        former = self.current.get(key)
-        create_revision = former.create_revision if former else self.revision
+        previous = self.current.get(key)
+        create_revision = previous.create_revision if previous else self.revision
         version = KeyVersion(key, self.revision, create_revision, value)
         self.history.append(version)
         self.history_revisions.append(self.revision)
@@ -93,7 +93,7 @@
             del self.current[key]
             del self.sorted_keys[bisect_left(self.sorted_keys, key)]
         else:
-            if former is None:
+            if previous is None:
                 insort(self.sorted_keys, key)
             self.current[key] = version
         self.commits.append(Commit(self.clock(), version))
@@ -101,20 +101,20 @@
         return self.revision
 
     def notify(self) -> None:
-        """Wake all that wait for a change."""
+        """Wake all readers that wait for a change."""
         for event in self.changed:
             event.set()
 
     def read_range(self, start: bytes, end: bytes, revision: int = 0) -> list[KeyVersion]:
-        """Return the keys from `start` to before `end`, sorted, as of a revision.
+        """Return the keys in a range as of a revision, sorted by key.
 
         Args:
-            start: The first key.
-            end: The key behind the last one.
-            revision: The revision to read at; 0 for the latest.
+            start: First key of the range.
+            end: End of the range, exclusive.
+            revision: Revision to read at; 0 for the latest.
 
         Raises:
-            CompactedError: If that revision is compacted.
+            CompactedError: If the revision has been compacted.
         """
         if not revision or revision >= self.revision:
             first = bisect_left(self.sorted_keys, start)
@@ -128,10 +128,10 @@
         return [state[key] for key in sorted(state) if start <= key < end and state[key].value is not None]
 
     def changes_since(self, revision: int, start: bytes, end: bytes) -> list[KeyVersion]:
-        """Return all changes in the range from that revision on.
+        """Return all changes with at least the given revision whose keys are in a range.
 
         Raises:
-            CompactedError: If the revision is compacted.
+            CompactedError: If the revision has been compacted.
         """
         if revision <= self.compacted_revision:
             raise CompactedError
@@ -139,22 +139,22 @@
         return [version for version in changes if start <= version.key < end]
 
     def compact(self, revision: int | None = None) -> None:
-        """Forget the history up to that revision, by default all of it."""
+        """Drop the history up to and including a revision, by default all of it."""
         self.compacted_revision = self.revision if revision is None else revision
-        cut = bisect_right(self.history_revisions, self.compacted_revision)
-        for version in self.history[:cut]:
+        kept_from = bisect_right(self.history_revisions, self.compacted_revision)
+        for version in self.history[:kept_from]:
             self.compacted_state[version.key] = version
-        del self.history[:cut]
-        del self.history_revisions[:cut]
+        del self.history[:kept_from]
+        del self.history_revisions[:kept_from]
 
     def copy(self) -> KeyValueStore:
-        """Return a backup of the state, without commits, leases and listeners."""
+        """Return a copy of the state without commits, leases and waiting readers."""
         backup = KeyValueStore(self.clock)
         backup._copy_state(self)
         return backup
 
     def restore(self, backup: KeyValueStore, cluster_id: int = 0) -> None:
-        """Go back to a backup, under a new cluster id if one is given; later changes are lost."""
+        """Restore the state of a backup, under a new cluster id if one is given; later changes are lost."""
         self.cluster_id = cluster_id or self.cluster_id
         affected = [self.current[key] for key in self.sorted_keys]
         affected += backup.current.values()
--- a/applevale/fakes/registry_host.py
+++ b/applevale/fakes/registry_host.py
@@ -1,9 +1,9 @@
-"""A fake registry in a process of its own, for harnesses of many processes.
+"""A fake registry in a process of its own, for harnesses with many processes.
 
-It is started by `python -m applevale.fakes.registry_host`. Three etcd-like members serve one store behind one
-capacity. Orders come as JSON lines on standard input; events go out as JSON lines on standard output:
-commits, sessions, and the reads of each tenth of a second. Times are of the monotonic clock, which all
-processes of a machine share. The process ends with its input.
+Run it with `python -m applevale.fakes.registry_host`. Three etcd members serve one store and share one
+capacity. The process reads orders as JSON lines from standard input and writes events as JSON lines to
+standard output: sessions at once, commits and reads every tenth of a second. Times are in seconds of the
+monotonic clock, which all processes of a machine share. The process exits at the end of its input.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 REPORT_INTERVAL_SECONDS = 0.1
 MAX_ORDER_BYTES = 1 << 22
 TIME_DECIMALS = 5
-GC_THRESHOLDS = (100_000, 50, 1_000_000)  # a full collection pauses it for longer than members ever do
+# Thresholds that make full collections rare: one pauses this process for longer than a member ever pauses.
+GC_THRESHOLDS = (100_000, 50, 1_000_000)
 
 
 def write_event(event: str, **fields: object) -> None:
@@ -36,17 +37,18 @@
 
 
 class RegistryHost:
-    """The members, their store, and the orders that change them.
+    """The members, their store and the handlers of orders.
 
     Attributes:
-        backup: The state that the order `keep` saved and `restore` brings back.
-        reported_commits: How many commits have been written out.
-        unreported_reads: Reads that have not been written out: began, ended, caller, member, full, answered.
-        reserved_ports: Sockets bound to the addresses of stopped members, not listening.
+        backup: The state that the order `keep` saved and the order `restore` loads.
+        reported_commits: Number of commits that have been written out.
+        unreported_reads: Reads that have not been written out, each as a list of begin, end, caller, index of
+            the member, whether it is full and whether it was answered.
+        reserved_ports: Sockets that are bound to the addresses of stopped members and do not listen.
     """
 
     def __init__(self) -> None:
-        """Create the members; `start` makes them listen."""
+        """Create the members; `start` lets them listen."""
         self.store = KeyValueStore(time.monotonic)
         self.capacity = ServiceCapacity()
         self.members = [etcd.Member(self.store, capacity=self.capacity) for _ in range(MEMBER_COUNT)]
@@ -91,7 +93,7 @@
         write_event("serving", addresses=[list(member.address) for member in self.members])
 
     def report(self) -> None:
-        """Write out the commits and reads since the last time."""
+        """Write out the commits and reads since the last report."""
         for commit in self.store.commits[self.reported_commits :]:
             version = commit.version
             write_event(
@@ -107,13 +109,13 @@
             self.unreported_reads = []
 
     async def report_regularly(self) -> None:
-        """Report at the interval until it is cancelled."""
+        """Report every `REPORT_INTERVAL_SECONDS` until the task is cancelled."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_SECONDS)
             self.report()
 
     async def execute(self, order: str, **values: object) -> None:
-        """Execute one order; each is answered by an event `done`."""
+        """Execute one order and write the event `done`, preceded by `unknown` if there is no such order."""
         handler = self.orders.get(order)
         if handler is None:
             write_event("unknown", order=order)
@@ -122,8 +124,8 @@
         self.report()
         write_event("done", order=order)
 
-    def _selected(self, values: dict) -> Iterable[etcd.Member]:
-        """The member that the order names; all if it names none."""
+    def _selected_members(self, values: dict) -> Iterable[etcd.Member]:
+        """Return the member that an order names, or all members if it names none."""
         return [self.members[int(values["member"])]] if "member" in values else self.members
 
     async def _put(self, values: dict) -> None:
@@ -137,11 +139,11 @@
         self.capacity.max_wait = values.get("most", inf)
 
     async def _delay_calls(self, values: dict) -> None:
-        for member in self._selected(values):
+        for member in self._selected_members(values):
             member.call_delay = values["seconds"]
 
     async def _silence_watches(self, values: dict) -> None:
-        for member in self._selected(values):
+        for member in self._selected_members(values):
             member.silences_watches = bool(values["on"])
         self.store.notify()
 
@@ -149,28 +151,28 @@
         self.store.compact()
 
     async def _stop_members(self, values: dict) -> None:
-        for member in self._selected(values):
+        for member in self._selected_members(values):
             await member.stop()
             self._reserve_port(member.address)
 
     async def _start_members(self, values: dict) -> None:
-        for member in self._selected(values):
+        for member in self._selected_members(values):
             await member.start()
 
     async def _save_backup(self, _values: dict) -> None:
         self.backup = self.store.copy()
 
     async def _restore_backup(self, _values: dict) -> None:
-        """Bring the members back from the backup, under a new cluster id."""
+        """Restore the backup under a new cluster id and abort all connections."""
         self.store.restore(self.backup.copy(), self.store.cluster_id + 1)
         for member in self.members:
             member.abort_connections()
 
     async def _do_nothing(self, _values: dict) -> None:
-        """An order that only waits for the earlier ones."""
+        """Do nothing; the event `done` shows that all earlier orders have been executed."""
 
     def _reserve_port(self, address: tuple[str, int]) -> None:
-        """Keep other servers off the port of a stopped member: one on it would be taken for the member."""
+        """Bind the port of a stopped member, so that no other server on it is taken for the member."""
         if address not in self.reserved_ports:
             reserved = socket.socket()
             self.reserved_ports[address] = reserved
@@ -179,7 +181,7 @@
 
 
 async def open_standard_input() -> asyncio.StreamReader:
-    """Return a reader of the process's standard input."""
+    """Return a stream reader on standard input."""
     reader = asyncio.StreamReader(limit=MAX_ORDER_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -187,15 +189,15 @@
 
 
 async def run() -> None:
-    """Execute orders until standard input ends."""
+    """Start the members and execute orders until standard input ends."""
     host = RegistryHost()
     gc.set_threshold(*GC_THRESHOLDS)
     await host.start()
-    reporting = asyncio.create_task(host.report_regularly())
+    report_task = asyncio.create_task(host.report_regularly())
     reader = await open_standard_input()
     while line := await reader.readline():
         await host.execute(**json.loads(line))
-    reporting.cancel()
+    report_task.cancel()
     host.report()
 
 
--- a/applevale/fakes/service_capacity.py
+++ b/applevale/fakes/service_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity of a service: calls are served one by one, at a fixed number a second, over all callers."""
+"""Limited capacity of a service: calls are served one at a time, at a fixed rate over all callers."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 @dataclass
 class ServiceCapacity:
-    """A queue in front of a service that serves `rate` calls a second.
+    """A queue in front of a service that serves `rate` calls per second.
 
-    A call that its caller gave up keeps its place in the queue. There is no I/O and no clock.
+    A call keeps its place in the queue even if its caller cancels it. The class does no I/O and reads no
+    clock.
 
     Attributes:
-        rate: Calls a second.
-        max_wait: Seconds in the queue beyond which a call is rejected; by default none is.
-        next_free_at: When the service can begin the next call.
-        rejected: Calls rejected so far.
+        rate: Calls per second; infinite by default.
+        max_wait: Maximum time in the queue in seconds; a call that would wait longer is rejected.
+        next_free_at: When the service can start the next call, in seconds.
+        rejected: Number of calls rejected so far.
     """
 
     rate: float = inf
@@ -25,7 +26,7 @@
     rejected: int = 0
 
     def reserve(self, now: float) -> float | None:
-        """Return the seconds until a call made now is done, or None if it is rejected."""
+        """Return the seconds until a call made at `now` is completed, or None if it is rejected."""
         if self.rate == inf:
             return 0.0
         begin = max(now, self.next_free_at)
