--- a/applevale/fault_injection/__init__.py
+++ b/applevale/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between processes, on loopback only: link conditions, TCP and UDP proxies, schedules, scenarios."""
+"""Fault injection between processes on loopback: link conditions, proxies, schedules and scenarios."""
--- a/applevale/fault_injection/scenarios.py
+++ b/applevale/fault_injection/scenarios.py
@@ -1,7 +1,7 @@
-"""Named scenarios of faults among members, as schedules: the same ones for real processes and the simulation.
+"""Named fault scenarios for members, as schedules for both real processes and the simulation.
 
-A scenario is drawn from the size of the fleet and a seed; times count from the moment at which all have
-joined.
+The steps of a scenario depend on the number of members and a seed. Step times count from the moment at which
+all members have joined.
 """
 
 from __future__ import annotations
@@ -22,42 +22,47 @@
     UpgradeProcess,
 )
 
-Draw = Callable[[int, Random], list[Step]]  # number of instances, random numbers
+# Takes the number of members and a source of random numbers.
+StepGenerator = Callable[[int, Random], list[Step]]
 
 CUT = LinkCondition(cut=True)
-FIRST_FAULT_AT = 1.0  # s
-INBOUND_CUT_SHARE = 0.5  # of the flapping links, that are cut towards the member; the others from it
+FIRST_FAULT_AT = 1.0  # seconds after all members have joined
+INBOUND_CUT_SHARE = 0.5  # probability that the flapping links of a member are its inbound ones
 
 
-def _choose(nodes: int, random: Random, share: float) -> list[str]:
+def _choose_members(nodes: int, random: Random, share: float) -> list[str]:
     count = max(1, round(nodes * share))
     return [f"n{number}" for number in sorted(random.sample(range(nodes), count))]
 
 
-def _kill(share: float) -> Draw:
-    return lambda nodes, random: [KillProcess(at=FIRST_FAULT_AT, processes=_choose(nodes, random, share))]
+def _kill(share: float) -> StepGenerator:
+    return lambda nodes, random: [
+        KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, share))
+    ]
 
 
 def _rolling_restart(nodes: int, random: Random) -> list[Step]:
-    """All ended and started again, a tenth at a time."""
+    """Terminate and restart all members, a tenth of them every 2.5 s."""
     names = [f"n{number}" for number in range(nodes)]
     random.shuffle(names)
-    step = max(1, nodes // 10)
+    group_size = max(1, nodes // 10)
     return [
         TerminateProcess(
-            at=FIRST_FAULT_AT + 2.5 * turn, processes=names[first : first + step], restart_after=0.1
+            at=FIRST_FAULT_AT + 2.5 * group,
+            processes=names[first : first + group_size],
+            restart_after=0.1,
         )
-        for turn, first in enumerate(range(0, nodes, step))
+        for group, first in enumerate(range(0, nodes, group_size))
     ]
 
 
-def _pause(share: float, duration: float) -> Draw:
+def _pause(share: float, duration: float) -> StepGenerator:
     return lambda nodes, random: [
-        PauseProcess(at=FIRST_FAULT_AT, processes=_choose(nodes, random, share), duration=duration)
+        PauseProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, share), duration=duration)
     ]
 
 
-def _between_all(condition: LinkCondition, duration: float) -> Draw:
+def _between_all(condition: LinkCondition, duration: float) -> StepGenerator:
     return lambda nodes, random: [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT, sources=["n*"], targets=["n*"], condition=condition, duration=duration
@@ -65,12 +70,12 @@
     ]
 
 
-def _from_one(condition: LinkCondition, duration: float) -> Draw:
-    """What one member sends."""
+def _from_one_member(condition: LinkCondition, duration: float) -> StepGenerator:
+    """Apply a condition to all traffic from one member."""
     return lambda nodes, random: [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT,
-            sources=_choose(nodes, random, 0),
+            sources=_choose_members(nodes, random, 0),
             targets=["n*"],
             condition=condition,
             duration=duration,
@@ -78,13 +83,13 @@
     ]
 
 
-def _to_one(condition: LinkCondition, duration: float) -> Draw:
-    """What one member is sent."""
+def _to_one_member(condition: LinkCondition, duration: float) -> StepGenerator:
+    """Apply a condition to all traffic to one member."""
     return lambda nodes, random: [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT,
             sources=["n*"],
-            targets=_choose(nodes, random, 0),
+            targets=_choose_members(nodes, random, 0),
             condition=condition,
             duration=duration,
         )
@@ -101,15 +106,15 @@
 
 
 def _flapping_links(nodes: int, random: Random) -> list[Step]:
-    """A tenth of the members are cut off in one way, for 2 s of every 4."""
+    """Cut off a tenth of the members in one direction for 2 of every 4 seconds, four times."""
     steps: list[Step] = []
-    for name in _choose(nodes, random, 0.1):
-        into = random.random() < INBOUND_CUT_SHARE
-        for turn in range(4):
-            sources, targets = (["n*"], [name]) if into else ([name], ["n*"])
+    for name in _choose_members(nodes, random, 0.1):
+        is_inbound = random.random() < INBOUND_CUT_SHARE
+        for repetition in range(4):
+            sources, targets = (["n*"], [name]) if is_inbound else ([name], ["n*"])
             steps.append(
                 ApplyLinkCondition(
-                    at=FIRST_FAULT_AT + 4.0 * turn,
+                    at=FIRST_FAULT_AT + 4.0 * repetition,
                     sources=sources,
                     targets=targets,
                     condition=CUT,
@@ -119,10 +124,10 @@
     return steps
 
 
-def _partition(nodes: int, random: Random, parts: int) -> list[list[str]]:
+def _partition(nodes: int, random: Random, group_count: int) -> list[list[str]]:
     names = [f"n{number}" for number in range(nodes)]
     random.shuffle(names)
-    return [names[part::parts] for part in range(parts)]
+    return [names[group::group_count] for group in range(group_count)]
 
 
 def _cut_both_ways(first: list[str], second: list[str], duration: float) -> list[Step]:
@@ -141,14 +146,14 @@
 
 
 def _three_groups(nodes: int, random: Random) -> list[Step]:
-    """Of three groups, two do not reach each other, and the third reaches both."""
+    """Cut two of three groups off from each other; the third group reaches both."""
     first, _, third = _partition(nodes, random, 3)
     return _cut_both_ways(first, third, duration=10.0)
 
 
 def _one_way_cut(nodes: int, random: Random) -> list[Step]:
-    """What four of ten members send one member does not come."""
-    names = _choose(nodes, random, 0.4)
+    """Cut all traffic from 40% of the members to one other member."""
+    names = _choose_members(nodes, random, 0.4)
     target = random.choice([f"n{number}" for number in range(nodes) if f"n{number}" not in names])
     return [
         ApplyLinkCondition(at=FIRST_FAULT_AT, sources=names, targets=[target], condition=CUT, duration=12.0)
@@ -158,25 +163,30 @@
 def _repeated_pauses(nodes: int, random: Random) -> list[Step]:
     return [
         PauseRepeatedly(
-            at=FIRST_FAULT_AT, processes=_choose(nodes, random, 0.25), duration=0.3, interval=0.7, count=15
+            at=FIRST_FAULT_AT,
+            processes=_choose_members(nodes, random, 0.25),
+            duration=0.3,
+            interval=0.7,
+            count=15,
         )
     ]
 
 
 def _quick_restart(nodes: int, random: Random) -> list[Step]:
-    return [KillProcess(at=FIRST_FAULT_AT, processes=_choose(nodes, random, 0), restart_after=0.1)]
+    return [KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, 0), restart_after=0.1)]
 
 
 def _quick_restarts(nodes: int, random: Random) -> list[Step]:
-    """One is killed and comes back within 100 ms, three times."""
-    name = _choose(nodes, random, 0)
+    """Kill a member and restart it 100 ms later, three times."""
+    name = _choose_members(nodes, random, 0)
     return [
-        KillProcess(at=FIRST_FAULT_AT + 3.0 * turn, processes=name, restart_after=0.1) for turn in range(3)
+        KillProcess(at=FIRST_FAULT_AT + 3.0 * repetition, processes=name, restart_after=0.1)
+        for repetition in range(3)
     ]
 
 
 def _two_waves_of_pauses(nodes: int, random: Random) -> list[Step]:
-    """A quarter is paused for 6 s, and another one too, from a little later on."""
+    """Pause a quarter of the members for 6 s, and another quarter from 1.5 s later on."""
     names = [f"n{number}" for number in range(nodes)]
     random.shuffle(names)
     quarter = max(1, nodes // 4)
@@ -187,17 +197,17 @@
 
 
 def _late_restart(nodes: int, random: Random) -> list[Step]:
-    """One is killed, and is started again long after all know it to be dead."""
-    return [KillProcess(at=FIRST_FAULT_AT, processes=_choose(nodes, random, 0), restart_after=8.0)]
+    """Kill a member and restart it long after all others have detected its death."""
+    return [KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, 0), restart_after=8.0)]
 
 
 def _upgrades(nodes: int, random: Random) -> list[Step]:
-    return [UpgradeProcess(at=FIRST_FAULT_AT, processes=_choose(nodes, random, 0.1), overlap=6.0)]
+    return [UpgradeProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, 0.1), overlap=6.0)]
 
 
-def _sequence(nodes: int, random: Random) -> list[Step]:
-    """One after the other: a death, a pause of a quarter, loss, a one-sided cut, a quick restart."""
-    parts: list[tuple[float, Draw]] = [
+def _mixed_faults(nodes: int, random: Random) -> list[Step]:
+    """Combine, in this order: a kill, a pause of a quarter, loss, a one-way cut and a quick restart."""
+    parts: list[tuple[float, StepGenerator]] = [
         (0.0, _kill(0)),
         (7.0, _pause(0.25, 2.0)),
         (13.0, _between_all(LinkCondition(loss=0.2), 8.0)),
@@ -205,16 +215,16 @@
         (35.0, _quick_restart),
     ]
     steps: list[Step] = []
-    for offset, draw in parts:
-        for step in draw(nodes, random):
+    for offset, generate_steps in parts:
+        for step in generate_steps(nodes, random):
             steps.append(msgspec.structs.replace(step, at=step.at + offset))
     return steps
 
 
-LATE = LinkCondition(reorder=0.4, reorder_delay=1.5, duplication=0.3)
+REORDERED_AND_DUPLICATED = LinkCondition(reorder=0.4, reorder_delay=1.5, duplication=0.3)
 
-SCENARIOS: dict[str, Draw] = {
-    "membership": _sequence,
+SCENARIOS: dict[str, StepGenerator] = {
+    "membership": _mixed_faults,
     "calm": lambda nodes, random: [],
     "killed": _kill(0),
     "killed-47": _kill(0.47),
@@ -229,15 +239,15 @@
     "loss-20": _between_all(LinkCondition(loss=0.2), 12.0),
     "loss-40": _between_all(LinkCondition(loss=0.4), 12.0),
     "loss-60": _between_all(LinkCondition(loss=0.6), 12.0),
-    "loss-out-80": _from_one(LinkCondition(loss=0.8), 12.0),
-    "deaf": _to_one(CUT, 8.0),
-    "mute": _from_one(CUT, 8.0),
+    "loss-out-80": _from_one_member(LinkCondition(loss=0.8), 12.0),
+    "deaf": _to_one_member(CUT, 8.0),
+    "mute": _from_one_member(CUT, 8.0),
     "pair": _cut_one_pair,
     "toggles": _flapping_links,
     "one-sided": _one_way_cut,
     "halves": _two_halves,
     "three-groups": _three_groups,
-    "late": _between_all(LATE, 12.0),
+    "late": _between_all(REORDERED_AND_DUPLICATED, 12.0),
     "all-late": _between_all(LinkCondition(delay=1.5), 8.0),
     "stalls": _repeated_pauses,
     "again": _quick_restarts,
@@ -248,17 +258,17 @@
 
 
 def scenario_steps(name: str, nodes: int, seed: int) -> list[Step]:
-    """Return the steps of a scenario, in the order of their times."""
+    """Return the steps of a scenario, sorted by time."""
     steps = SCENARIOS[name](nodes, Random(f"{name} {nodes} {seed}"))
     return sorted(steps, key=lambda step: step.at)
 
 
 def scenario_duration(steps: list[Step]) -> float:
-    """Return the s until the last step is over, without what follows from it."""
-    return max((_end_of(step) for step in steps), default=0.0)
+    """Return the seconds until the last step ends; members may take longer to recover from it."""
+    return max((_step_end(step) for step in steps), default=0.0)
 
 
-def _end_of(step: Step) -> float:
+def _step_end(step: Step) -> float:
     match step:
         case PauseRepeatedly():
             return step.at + step.interval * step.count
--- a/applevale/fault_injection/schedule.py
+++ b/applevale/fault_injection/schedule.py
@@ -1,4 +1,4 @@
-"""A schedule of faults: typed steps, from a file or drawn from a seed, played in order and logged."""
+"""Fault schedules: typed steps that are read from a file or drawn from a seed, then executed and logged."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
 
 
 class ScheduleError(AppleValeError, ValueError):
-    """A step that makes no sense; the text names its place."""
+    """A schedule that cannot be read; the text names the place of the error in the file."""
 
 
 class _Step(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, tag_field="do"):
-    """What all steps have. Names in files are those of `rename` and `tag`."""
+    """Base of all steps. In files, steps and fields have the names given by `tag` and `rename`.
 
-    at: Seconds  # from the begin of the schedule
+    Attributes:
+        at: When the step starts, in seconds from the start of the schedule.
+    """
+
+    at: Seconds
 
 
 class ApplyLinkCondition(_Step, tag="link", rename={"condition": "fate", "duration": "span"}):
-    """Apply a condition to all that `sources` send `targets`, for a time."""
+    """Apply a condition to all traffic from `sources` to `targets` for `duration` seconds."""
 
     sources: Patterns
     targets: Patterns
@@ -36,14 +40,14 @@
 
 
 class KillProcess(_Step, tag="kill", rename={"processes": "who", "restart_after": "back"}):
-    """Send SIGKILL; start again under the same name after a time, or never."""
+    """Send SIGKILL; restart under the same name after `restart_after` seconds, or never if that is None."""
 
     processes: Patterns
     restart_after: Seconds | None = None
 
 
 class PauseProcess(_Step, tag="stop", rename={"processes": "who", "duration": "span"}):
-    """Send SIGSTOP, and SIGCONT after a time."""
+    """Send SIGSTOP, and SIGCONT after `duration` seconds."""
 
     processes: Patterns
     duration: Seconds
@@ -54,7 +58,7 @@
     tag="stall",
     rename={"processes": "who", "duration": "span", "interval": "apart", "count": "times"},
 ):
-    """Pause several times; `interval` is from one begin to the next."""
+    """Pause `count` times for `duration` seconds; `interval` is the time from one start to the next."""
 
     processes: Patterns
     duration: Seconds
@@ -63,21 +67,21 @@
 
 
 class TerminateProcess(_Step, tag="term", rename={"processes": "who", "restart_after": "back"}):
-    """Send SIGTERM; start again under the same name a time after the process has ended, or never."""
+    """Send SIGTERM; restart under the same name `restart_after` seconds after the exit, or never if None."""
 
     processes: Patterns
     restart_after: Seconds | None = None
 
 
 class UpgradeProcess(_Step, tag="upgrade", rename={"processes": "who", "overlap": "both"}):
-    """Start a second process under the same name and address; end the first by SIGTERM after a time."""
+    """Start a second process of the same name and address; SIGTERM the first `overlap` seconds later."""
 
     processes: Patterns
     overlap: Seconds
 
 
 class OrderRegistry(_Step, tag="service"):
-    """Give an order to the fake registry: its name and its values, as the fake defines them."""
+    """Send an order to the fake registry; `applevale.fakes.registry_host` defines orders and their values."""
 
     order: str
     values: dict[str, float | str] = {}
@@ -95,10 +99,10 @@
 
 
 def read_schedule(data: bytes) -> list[Step]:
-    """Return the steps of a file in the order of their times.
+    """Return the steps of a schedule file, sorted by time.
 
     Raises:
-        ScheduleError: It is none.
+        ScheduleError: If the data is not a valid schedule.
     """
     try:
         steps = msgspec.json.decode(data, type=list[Step])
@@ -108,12 +112,12 @@
 
 
 def write_schedule(steps: list[Step]) -> bytes:
-    """Return the steps as a file."""
+    """Return the contents of a schedule file with these steps."""
     return msgspec.json.format(msgspec.json.encode(steps), indent=1)
 
 
-# The kinds of faults that `draw_schedule` draws, each with the maximum duration of one of its steps, in s.
-MAX_DURATIONS = {
+# Kinds of faults that `draw_schedule` draws, with the maximum duration of a step of each kind.
+MAX_STEP_SECONDS = {
     "kill": 0.0,
     "term": 0.0,
     "stop": 2.0,
@@ -123,35 +127,37 @@
     "down": 3.0,
     "slow": 0.3,
 }
-RESTART_DELAYS = (0.1, 1.0, 3.0)
-STALL_COUNT = 5
-LATE_CONDITION = LinkCondition(delay=0.4, jitter=0.1)
-SLOW_ANSWERS_SECONDS = 3.0  # how long the registry answers slowly
+RESTART_DELAYS_SECONDS = (0.1, 1.0, 3.0)
+PAUSE_COUNT = 5
+SLOW_LINK = LinkCondition(delay=0.4, jitter=0.1)
+SLOW_REGISTRY_SECONDS = 3.0  # duration of a phase in which the registry answers slowly
 
 
 def draw_schedule(seed: int, nodes: int, steps: int = 12, span: float = 24.0) -> list[Step]:
-    """Return a schedule over `span` s from a seed alone: the same seed and size draw the same steps.
+    """Return random steps over `span` seconds; the same arguments always return the same steps.
 
-    Each run leaves out some of the kinds (swarm testing), so that no kind hides what another would have
-    shown.
+    Each schedule leaves out some kinds of faults (swarm testing), so that one kind cannot mask the failures
+    that another would reveal.
     """
     random = Random(f"{seed} {nodes}")
-    kinds = random.sample(sorted(MAX_DURATIONS), k=random.randint(2, len(MAX_DURATIONS) - 1))
-    drawn: list[Step] = []
+    kinds = random.sample(sorted(MAX_STEP_SECONDS), k=random.randint(2, len(MAX_STEP_SECONDS) - 1))
+    drawn_steps: list[Step] = []
     for _ in range(steps):
         kind = random.choice(kinds)
         at = round(random.uniform(0.0, span), 2)
         count = random.choice((1, max(1, nodes // 4), max(1, nodes // 3)))
         processes = [f"n{number}" for number in sorted(random.sample(range(nodes), count))]
-        duration = round(random.uniform(0.1, 1.0) * MAX_DURATIONS[kind], 2)
-        drawn += _draw_steps(kind, at, processes, duration, random)
-    return sorted(drawn, key=lambda step: step.at)
+        duration = round(random.uniform(0.1, 1.0) * MAX_STEP_SECONDS[kind], 2)
+        drawn_steps += _draw_steps(kind, at, processes, duration, random)
+    return sorted(drawn_steps, key=lambda step: step.at)
 
 
 def _draw_steps(kind: str, at: float, processes: list[str], duration: float, random: Random) -> list[Step]:
     match kind:
         case "kill":
-            return [KillProcess(at=at, processes=processes, restart_after=random.choice(RESTART_DELAYS))]
+            return [
+                KillProcess(at=at, processes=processes, restart_after=random.choice(RESTART_DELAYS_SECONDS))
+            ]
         case "term":
             return [TerminateProcess(at=at, processes=processes, restart_after=0.1)]
         case "stop":
@@ -160,13 +166,13 @@
             interval = 2 * duration + 0.2
             return [
                 PauseRepeatedly(
-                    at=at, processes=processes, duration=duration, interval=interval, count=STALL_COUNT
+                    at=at, processes=processes, duration=duration, interval=interval, count=PAUSE_COUNT
                 )
             ]
         case "cut":
             return _draw_link_steps(LinkCondition(cut=True), at, processes, duration, random)
         case "late":
-            return _draw_link_steps(LATE_CONDITION, at, processes, duration, random)
+            return _draw_link_steps(SLOW_LINK, at, processes, duration, random)
         case "down":
             return [
                 OrderRegistry(at=at, order="down"),
@@ -174,16 +180,16 @@
             ]
     return [
         OrderRegistry(at=at, order="late", values={"seconds": duration}),
-        OrderRegistry(at=round(at + SLOW_ANSWERS_SECONDS, 2), order="late", values={"seconds": 0.0}),
+        OrderRegistry(at=round(at + SLOW_REGISTRY_SECONDS, 2), order="late", values={"seconds": 0.0}),
     ]
 
 
 def _draw_link_steps(
     condition: LinkCondition, at: float, processes: list[str], duration: float, random: Random
 ) -> list[Step]:
-    """Return steps between processes and the registry: both ways, or one of them."""
-    ways = [(processes, ["list*"]), (["list*"], processes)]
-    chosen = random.choice((ways, ways[:1], ways[1:]))
+    """Return steps that apply a condition between processes and the registry, in one or both directions."""
+    directions = [(processes, ["list*"]), (["list*"], processes)]
+    chosen = random.choice((directions, directions[:1], directions[1:]))
     return [
         ApplyLinkCondition(at=at, sources=sources, targets=targets, condition=condition, duration=duration)
         for sources, targets in chosen
@@ -191,10 +197,10 @@
 
 
 class FaultPlayer(Protocol):
-    """Carries out the steps of a schedule."""
+    """Executes the steps of a schedule."""
 
     async def execute(self, step: Step) -> None:
-        """Carry out one step; return when it is over."""
+        """Execute one step; return when its fault has ended."""
 
 
 async def play_schedule(
@@ -203,15 +209,22 @@
     log: Callable[[float, Step], None],
     clock: Callable[[], float],
 ) -> None:
-    """Carry out each step at its time, beside those that last; return when all are over."""
+    """Execute each step at its time, concurrently with earlier ones; return when all have ended.
+
+    Args:
+        steps: The steps, sorted by time.
+        player: Executes the steps.
+        log: Called with the time and the step when a step starts.
+        clock: Returns the time in seconds.
+    """
     started_at = clock()
-    running: list[asyncio.Task] = []
+    step_tasks: list[asyncio.Task] = []
     try:
         for step in steps:
             await asyncio.sleep(max(0.0, started_at + step.at - clock()))
             log(clock(), step)
-            running.append(asyncio.create_task(player.execute(step)))
-        await asyncio.gather(*running)
+            step_tasks.append(asyncio.create_task(player.execute(step)))
+        await asyncio.gather(*step_tasks)
     finally:
-        for task in running:
+        for task in step_tasks:
             task.cancel()
--- a/applevale/fault_injection/tcp_proxy.py
+++ b/applevale/fault_injection/tcp_proxy.py
@@ -1,6 +1,6 @@
-"""TCP proxies before servers, that apply link conditions.
+"""TCP proxies in front of servers that apply link conditions.
 
-The caller is known by the local address that it bound: one for each instance.
+A proxy identifies its caller by the local address that the caller bound; each instance has one of its own.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from .link_conditions import LinkConditions
 from .tcp_relay import RelayConnection, RelayProxy, RelayStream
 
-MAX_BUFFERED_BYTES = 1 << 18  # in one direction of a connection; beyond, its sender is not read from
-CUT_POLL_SECONDS = 0.02  # between two checks whether a cut has ended
-MIN_DELAY_SECONDS = 0.0005  # what is due within this time leaves now
+MAX_BUFFERED_BYTES = 1 << 18  # per direction of a connection; above it, reading is paused
+CUT_POLL_SECONDS = 0.02  # interval between checks whether a cut has ended
+MIN_DELAY_SECONDS = 0.0005  # data due within this time is written at once
 ADDRESSES_PER_BLOCK = 250
-OTHER_CALLER = "other"  # the name of callers that are no instances
+OTHER_CALLER = "other"  # name of callers that are not instances
 
 
 def source_address(number: int) -> str:
-    """Return the local address of an instance; there are 60,000 of them."""
+    """Return the local address of the instance with a number; there are about 60,000 addresses."""
     return f"127.1.{number // ADDRESSES_PER_BLOCK}.{number % ADDRESSES_PER_BLOCK + 1}"
 
 
 def source_number(address: str) -> int | None:
-    """Return the number of the instance with this address; None for others."""
+    """Return the number of the instance with a local address; None for any other address."""
     head, _, tail = address.partition("127.1.")
     if head or not tail:
         return None
@@ -39,7 +39,7 @@
 
 
 class _ConditionedStream(RelayStream):
-    """Bytes leave in the order they came, when the conditions let them."""
+    """Forwards data in order, with the delays and cuts of the conditions from `source` to `target`."""
 
     def __init__(self, conditions: LinkConditions, source: str, target: str):
         super().__init__()
@@ -47,7 +47,7 @@
         self.source = source
         self.target = target
         self.loop = asyncio.get_running_loop()
-        self.buffer: deque[tuple[float, bytes]] = deque()  # when due, data
+        self.buffer: deque[tuple[float, bytes]] = deque()  # due time and data of each chunk
         self.buffered_bytes = 0
         self.last_due = 0.0
         self.timer: asyncio.TimerHandle | None = None
@@ -69,7 +69,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what is due, and come back when more is."""
+        """Write the data that is due and schedule the next flush."""
         self.cancel_timer()
         if not self.can_write:
             return
@@ -91,7 +91,7 @@
             self.writer.close()
 
     def end(self) -> None:
-        """Note that the sender has closed: the receiver sees it behind all that was sent."""
+        """Record that the sender has closed; the receiver's connection is closed once all data is written."""
         self.is_ending = True
         self.flush()
 
@@ -108,37 +108,37 @@
 
 
 class TcpProxy(RelayProxy):
-    """Listens on loopback before one server, and passes on what the conditions of each pair let pass.
+    """Listens on loopback in front of one server and applies the conditions of each caller to its traffic.
 
     The server sees the caller's own local address.
     """
 
     def __init__(self, name: str, target: Address, conditions: LinkConditions):
-        """Proxy the server `name` at `target`."""
+        """Create a proxy for the server called `name` at `target`."""
         super().__init__(target)
         self.name = name
         self.conditions = conditions
 
     def on_conditions_changed(self) -> None:
-        """End the connections that are refused from now on."""
+        """Abort the open connections of callers that are now refused."""
         for connection in list(self._relay.connections):
             if not self.accepts(connection.caller_address):
                 connection.abort()
 
     def accepts(self, caller: Address) -> bool:
-        """Return whether the conditions let this caller connect."""
+        """Return whether the conditions allow the caller to connect."""
         return not self.conditions.between(_caller_name(caller), self.name).refuse
 
     async def wait_until_connectable(self, caller: Address) -> None:
-        """Return once no cut keeps the caller from the server."""
+        """Return once the conditions do not cut the caller off from the server."""
         name = _caller_name(caller)
         while self.conditions.between(name, self.name).cut:
             await asyncio.sleep(CUT_POLL_SECONDS)
 
     def create_request_stream(self, connection: RelayConnection) -> RelayStream:
-        """Return the stream that the conditions from the caller to the server apply to."""
+        """Return a stream with the conditions from the caller to the server."""
         return _ConditionedStream(self.conditions, _caller_name(connection.caller_address), self.name)
 
     def create_answer_stream(self, connection: RelayConnection) -> RelayStream:
-        """Return the stream that the conditions from the server to the caller apply to."""
+        """Return a stream with the conditions from the server to the caller."""
         return _ConditionedStream(self.conditions, self.name, _caller_name(connection.caller_address))
--- a/applevale/fault_injection/tcp_relay.py
+++ b/applevale/fault_injection/tcp_relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay before one server. What happens to connections and bytes is up to a behavior that plugs in."""
+"""A TCP relay in front of one server. A pluggable behavior decides what happens to connections and data."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class RelayStream(ABC):
-    """One direction of a relayed connection; a subclass decides what of its bytes leaves, and when.
+    """One direction of a relayed connection; subclasses decide which data is forwarded, and when.
 
     Attributes:
-        reader: The transport that the bytes come from; None before it is connected.
-        writer: The transport that they leave by; None before it is connected.
-        is_writing_paused: Whether the receiver's buffer is full; what follows from it is up to the subclass.
+        reader: The sender's transport; None until it is connected.
+        writer: The receiver's transport; None until it is connected.
+        is_writing_paused: Whether the receiver's buffer is full; subclasses decide how to react.
     """
 
     def __init__(self) -> None:
-        """Start without transports; the relay sets them."""
+        """Create a stream without transports; the relay sets them."""
         self.reader: asyncio.Transport | None = None
         self.writer: asyncio.Transport | None = None
         self.is_writing_paused = False
@@ -34,42 +34,42 @@
 
     @abstractmethod
     def put(self, data: bytes) -> None:
-        """Take data from the sender."""
+        """Accept data from the sender."""
 
     @abstractmethod
     def flush(self) -> None:
-        """Write what may leave now; called when the receiver is connected."""
+        """Write the data that may be forwarded now; called when the receiver is connected."""
 
     @abstractmethod
     def end(self) -> None:
-        """Note that the sender has closed its direction."""
+        """Record that the sender has closed its side."""
 
     @abstractmethod
     def on_sender_lost(self) -> None:
-        """Note that the sender's connection is closed while the receiver's is open."""
+        """Handle the loss of the sender's connection while the receiver's is open."""
 
     @abstractmethod
     def cancel_timer(self) -> None:
         """Cancel the next flush, if one is scheduled."""
 
     def pause_writing(self) -> None:
-        """Note that the receiver's buffer is full."""
+        """Record that the receiver's buffer is full."""
         self.is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the receiver's buffer has room again."""
+        """Record that the receiver's buffer has room again."""
         self.is_writing_paused = False
 
 
 class RelayBehavior(Protocol):
-    """What a relay does with its callers."""
+    """Decides how a relay treats its callers and their data."""
 
     def accepts(self, caller: Address) -> bool:
-        """Return whether a caller at this address is served; else its connection is aborted."""
+        """Return whether to serve a caller at this address; if not, its connection is aborted."""
         ...
 
     async def wait_until_connectable(self, caller: Address) -> None:
-        """Return once the server may be connected to for this caller."""
+        """Return once the relay may connect to the server for this caller."""
         ...
 
     def create_request_stream(self, connection: RelayConnection) -> RelayStream:
@@ -85,8 +85,8 @@
     """One of the two TCP connections of a relayed connection.
 
     Attributes:
-        incoming: The stream of bytes that come from it; None where it is not served.
-        outgoing: The stream of bytes that leave by it; None where it is not served.
+        incoming: The stream of data read from this connection; None if the caller is not served.
+        outgoing: The stream of data written to this connection; None if the caller is not served.
     """
 
     def __init__(self, connection: RelayConnection):
@@ -121,16 +121,16 @@
 
 
 class RelayConnection:
-    """A caller's connection and the one to the server behind it.
+    """A caller's connection and the corresponding connection to the server.
 
     Attributes:
         caller_address: The local address that the caller bound.
-        requests: The stream from the caller; None where it is not served.
-        answers: The stream to the caller; None where it is not served.
+        requests: The stream from the caller; None if the caller is not served.
+        answers: The stream to the caller; None if the caller is not served.
     """
 
     def __init__(self, relay: TcpRelay):
-        """Wait for a caller of this relay."""
+        """Create a connection of `relay` that waits for its caller."""
         self.relay = relay
         self.caller_address: Address = ("", 0)
         self.caller = _Endpoint(self)
@@ -141,11 +141,11 @@
 
     @property
     def is_established(self) -> bool:
-        """Whether the server behind is connected."""
+        """Whether the server has been connected to."""
         return self.server.transport is not None
 
     def on_connected(self, endpoint: _Endpoint) -> None:
-        """Serve a caller that has connected, or begin to pass on its bytes once the server has."""
+        """Connect to the server for a new caller, or start to forward data once the server is connected."""
         if endpoint is self.caller:
             self._on_caller_connected()
             return
@@ -178,7 +178,7 @@
             self.abort()
 
     def on_disconnected(self, endpoint: _Endpoint) -> None:
-        """Let the other connection follow one that is closed."""
+        """Pass the end of one connection on to the other."""
         stream = endpoint.incoming
         if stream is None:
             return
@@ -191,7 +191,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """End both connections at once."""
+        """Abort both connections."""
         if self.connect_task is not None and self.connect_task is not asyncio.current_task():
             self.connect_task.cancel()
         for endpoint in (self.caller, self.server):
@@ -202,17 +202,17 @@
 
 
 class TcpRelay:
-    """Listens on loopback before one server, and connects to it for each caller.
+    """Listens on loopback in front of one server and connects to it for each caller.
 
     The server sees the caller's own local address, unless that is 127.0.0.1.
 
     Attributes:
-        address: Where it listens, once it has started.
-        connections: The connections that are open, in the order in which they came.
+        address: The address at which the relay listens, once started.
+        connections: The open connections as keys, in order of arrival.
     """
 
     def __init__(self, target: Address, behavior: RelayBehavior):
-        """Relay to the server at `target` as `behavior` says; nothing is started yet."""
+        """Create a relay to the server at `target`; `start` lets it listen."""
         self.target = target
         self.behavior = behavior
         self.address: Address = (LOOPBACK, 0)
@@ -221,7 +221,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; `address` holds the port from then on."""
+        """Start to listen and set `address` to the port in use."""
         self.loop = asyncio.get_running_loop()
         self.server = await self.loop.create_server(self._accept, *self.address, backlog=BACKLOG)
         self.address = self.server.sockets[0].getsockname()[:2]
@@ -230,7 +230,7 @@
         return RelayConnection(self).caller
 
     async def stop(self) -> None:
-        """Close the listener and end all connections."""
+        """Close the listener and abort all connections."""
         self.server.close()
         for connection in list(self.connections):
             connection.abort()
@@ -238,19 +238,19 @@
 
 
 class RelayProxy:
-    """A base of proxies that are the behavior of a relay of their own."""
+    """Base class of proxies that own a relay and are its behavior."""
 
     def __init__(self, target: Address):
-        """Prepare a proxy to the server at `target`; nothing is started yet."""
+        """Create a proxy to the server at `target`; `start` lets it listen."""
         self._relay = TcpRelay(target, self)
 
     @property
     def address(self) -> Address:
-        """Where it listens, once it has started."""
+        """The address at which the proxy listens, once started."""
         return self._relay.address
 
     async def start(self) -> None:
-        """Listen; `address` holds the port from then on."""
+        """Start to listen and set `address` to the port in use."""
         await self._relay.start()
 
     async def stop(self) -> None:
--- a/applevale/fault_injection/udp_proxy.py
+++ b/applevale/fault_injection/udp_proxy.py
@@ -1,8 +1,9 @@
 """A proxy for datagrams between instances.
 
-Each instance has a proxy socket, which is its address in everyone's `peers`. The proxy socket that a
-datagram reaches tells its receiver, its source address tells its sender; it leaves from the sender's proxy
-socket, so the receiver sees the address that it knows. One process carries them all.
+Each instance has a proxy socket, whose address stands for it in the `peers` of all instances. The proxy
+socket that a datagram reaches identifies its receiver; the source address identifies its sender. The datagram
+is forwarded from the sender's proxy socket, so the receiver sees the address that it knows from `peers`. One
+process holds all proxy sockets.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 from ..net.addresses import Address
 from .link_conditions import LinkConditions
 
-MAX_READS_AT_ONCE = 256  # from one socket in one turn of the loop
+MAX_READS_PER_WAKEUP = 256  # datagrams read from a socket each time it becomes readable
 MAX_DATAGRAM_BYTES = 2048
-MAX_DELAYED_DATAGRAMS = 20_000  # at a time; beyond, they are lost and counted
-MIN_DELAY_SECONDS = 0.0005  # a shorter delay is none
+MAX_DELAYED_DATAGRAMS = 20_000  # at a time; further delayed datagrams are dropped and counted
+MIN_DELAY_SECONDS = 0.0005  # datagrams with at most this delay are forwarded at once
 RECEIVE_BUFFER_BYTES = 1 << 20
 
 
@@ -27,10 +28,12 @@
 
 
 class UdpProxy:
-    """Carries datagrams among instances under the conditions of each pair.
+    """Forwards datagrams between instances under the conditions of each pair.
 
-    `addresses` has what the peers of an instance are told; what is sent to `broadcast_socket` reaches all
-    others.
+    Attributes:
+        addresses: The address of each instance that its peers are given.
+        broadcast_socket: Datagrams to this socket are forwarded to all instances but the sender.
+        stats: Number of datagrams by outcome.
     """
 
     def __init__(
@@ -40,13 +43,13 @@
         conditions: LinkConditions,
         on_datagram: Callable[[str, str, int], None] = _ignore_datagram,
     ):
-        """Open a socket for each name.
+        """Open a proxy socket for each instance.
 
         Args:
-            names: The parties that send and receive.
-            listen_addresses: Where each of them receives datagrams.
-            conditions: What happens to datagrams on their way.
-            on_datagram: Called with sender, receiver and size in bytes of each datagram that is sent.
+            names: Names of the instances.
+            listen_addresses: The address at which each instance receives datagrams, which it also sends from.
+            conditions: The conditions of each pair of instances.
+            on_datagram: Called with sender, receiver and size in bytes of each datagram, including lost ones.
         """
         self.names = names
         self.listen_addresses = listen_addresses
@@ -74,7 +77,7 @@
         return sock
 
     def stop(self) -> None:
-        """Close all sockets; what is delayed is lost."""
+        """Close all sockets; delayed datagrams are lost."""
         for sock in (self.broadcast_socket, *self.sockets.values()):
             self.loop.remove_reader(sock)
             sock.close()
@@ -82,7 +85,7 @@
             timer.cancel()
 
     def _on_readable(self, target: str | None, sock: socket.socket) -> None:
-        for _ in range(MAX_READS_AT_ONCE):
+        for _ in range(MAX_READS_PER_WAKEUP):
             try:
                 data, address = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except (BlockingIOError, InterruptedError, ConnectionError):
