--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -1,4 +1,4 @@
-"""Checks of a fleet that starts cold, or loses the registry, read from a history."""
+"""Checks the history of a fleet that starts cold or loses the registry."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from math import inf
 
 from .drains import MAX_DRAIN_LAG_SECONDS, Drain, ListingChange, find_drains
-from .history import History, max_in_window, quantile
+from .history import DISTANT_PAST, History, max_in_window, quantile
 
-SESSIONS_AFTER_BREAK_SECONDS = 8.0  # after an outage, within which new sessions are counted
-MIN_OVERLAP_SECONDS = 0.001  # of two reads, to be seen as such
+SESSIONS_AFTER_BREAK_SECONDS = 8.0  # period after an outage in which new sessions are counted
+MIN_OVERLAP_SECONDS = 0.001  # shorter overlaps of two reads are ignored
 
-# The rules on requests: figures that must be 0 in each run.
+# Figures on requests that must be 0 in each run.
 REQUEST_RULES = ("lost_requests", "answered_twice", "loads_twice", "order_breaks")
-# Figures that must be 0 in each run, whatever the scenario.
-ALWAYS = (
+# All figures that must be 0 in each run, whatever the scenario.
+ZERO_FIGURES = (
     "ready_early",
     "questions_on_top",
     "engines_fallen",
@@ -25,7 +25,7 @@
 
 
 def drains(history: History) -> list[Drain]:
-    """Return all drains and deletions, in the order in which they ended."""
+    """Return all drains and deletions of engines, in the order of their ends."""
     arrivals = defaultdict(list)
     for event in history.select("arrival"):
         arrivals[event["engine"]].append(event["at"])
@@ -36,39 +36,39 @@
     return find_drains(changes, arrivals)
 
 
-def overlapping_reads(history: History) -> int:
-    """Count the short reads that were sent while another was open on the same connection."""
+def count_overlapping_reads(history: History) -> int:
+    """Count the short reads that began while another read was in flight on the same connection."""
     count = 0
     busy_until: dict[object, float] = {}
     for event in history.select("read"):
         if event["whole"]:
             continue
-        former = busy_until.get(event["caller"], 0.0)
-        count += event["at"] < former - MIN_OVERLAP_SECONDS
-        busy_until[event["caller"]] = max(former, event["out"])
+        previous_end = busy_until.get(event["caller"], 0.0)
+        count += event["at"] < previous_end - MIN_OVERLAP_SECONDS
+        busy_until[event["caller"]] = max(previous_end, event["out"])
     return count
 
 
-def ready_early(history: History) -> int:
-    """Count the instances that were ready before the registry had answered a read since their start.
+def count_early_readiness(history: History) -> int:
+    """Count the starts after which an instance was ready before the registry had answered one of its reads.
 
-    Either a full read counts, or a short one that confirms the stored list.
+    A full read counts as well as a short one, which confirms the stored list.
     """
     count = 0
     for name, events in history.by_process("launched", "ready", "read").items():
-        answered = [event["out"] for event in events if event["event"] == "read" and event["answered"]]
-        launched = 0.0
+        answered_at = [event["out"] for event in events if event["event"] == "read" and event["answered"]]
+        launched_at = 0.0
         for event in events:
             if event["event"] == "launched":
-                launched = event["at"]
+                launched_at = event["at"]
             elif event["event"] == "ready" and event["ready"] and name != "other":
-                count += not any(launched <= out <= event["at"] for out in answered)
-                launched = -1e18  # only the first one after a start
+                count += not any(launched_at <= at <= event["at"] for at in answered_at)
+                launched_at = DISTANT_PAST  # Only the first readiness after a start is checked.
     return count
 
 
-def full_reads(history: History, until: float) -> list[int]:
-    """Return the number of full reads that were answered, for each start of each instance."""
+def count_full_reads(history: History, until: float) -> list[int]:
+    """Return the number of answered full reads for each start of each instance."""
     counts = []
     for events in history.by_process("launched", "read", until=until).values():
         count = 0
@@ -82,8 +82,8 @@
     return counts
 
 
-def unconfirmed(history: History, since: float, until: float) -> int:
-    """Count how often a list became unconfirmed within the time, and the lists that were so before."""
+def count_unconfirmed_lists(history: History, since: float, until: float) -> int:
+    """Count the lists that were unconfirmed at `since`, and how often a list became so before `until`."""
     confirmed_before: dict[str, bool] = {}
     count = 0
     for event in history.select("list", "ended", until=until):
@@ -96,8 +96,8 @@
     return count + sum(not confirmed for confirmed in confirmed_before.values())
 
 
-def stale_seconds(history: History) -> float:
-    """Return the seconds, over all instances, for which a list was unconfirmed."""
+def total_unconfirmed_seconds(history: History) -> float:
+    """Return the total time for which lists were unconfirmed, in seconds over all instances."""
     total = 0.0
     unconfirmed_since: dict[str, float] = {}
     for event in history.select("list", "ended"):
@@ -109,8 +109,8 @@
     return total
 
 
-def sessions_left(history: History, since: float, until: float) -> int:
-    """Count the sessions that were open at `since` and that their instances had ended by `until`."""
+def count_left_sessions(history: History, since: float, until: float) -> int:
+    """Count the sessions that were open at `since` and had ended by `until`."""
     open_sessions = set()
     for event in history.select("session", "session_end", until=since):
         if event["event"] == "session":
@@ -122,17 +122,17 @@
 
 
 def max_open_sessions(history: History) -> int:
-    """Return the greatest number of sessions that were open at once."""
-    open_now = 0
-    greatest = 0
+    """Return the maximum number of sessions open at once."""
+    open_count = 0
+    max_open_count = 0
     for event in history.select("session", "session_end"):
-        open_now += 1 if event["event"] == "session" else -1
-        greatest = max(greatest, open_now)
-    return greatest
+        open_count += 1 if event["event"] == "session" else -1
+        max_open_count = max(max_open_count, open_count)
+    return max_open_count
 
 
 def figures(history: History, nodes: int) -> dict:
-    """Return the figures of the last line of a run."""
+    """Return the figures of a run, under the names that the harness prints them with."""
     return _start_figures(history) | _drain_figures(history) | _outage_figures(history)
 
 
@@ -144,7 +144,7 @@
     connects = defaultdict(list)
     for event in history.select("connect"):
         connects[event["engine"]].append(event["at"])
-    full = full_reads(history, break_at or inf)
+    full = count_full_reads(history, break_at or inf)
     return {
         "ready": len(ready),
         "ready_s": {
@@ -152,14 +152,14 @@
             "p99": round(quantile(ready, 0.99), 2),
             "max": round(max(ready, default=0.0), 2),
         },
-        "ready_early": ready_early(history),
+        "ready_early": count_early_readiness(history),
         "full_reads": sum(full),
         "full_reads_most": max(full, default=0),
         "reads_until_rest": sum(at < rest_at for at in read_times),
         "sessions": sum(1 for _ in history.select("session", until=rest_at)),
         "list_reads_s_max": max_in_window(read_times, 1.0),
         "list_connections_max": max_open_sessions(history),
-        "questions_on_top": overlapping_reads(history),
+        "questions_on_top": count_overlapping_reads(history),
         "connects_per_engine_s_max": max(
             (max_in_window(times, 1.0) for times in connects.values()), default=0
         ),
@@ -168,9 +168,9 @@
 
 
 def _ready_seconds(history: History) -> list[float]:
-    """Return how long after the launch each instance was first ready.
+    """Return how long after the launch each instance was first ready, in seconds.
 
-    Where no instance reports readiness, its first confirmed list counts.
+    If no instance reports its readiness, the first confirmed list of each instance counts instead.
     """
     launched = history.mark_time("launched") or 0.0
     has_ready_events = any(history.select("ready"))
@@ -190,12 +190,12 @@
             "max": round(max(lags, default=0.0) * 1000, 1),
         },
         "missed_drains": sum(lag > MAX_DRAIN_LAG_SECONDS for lag in lags),
-        "stale_s": round(stale_seconds(history), 2),
+        "stale_s": round(total_unconfirmed_seconds(history), 2),
     }
 
 
 def _outage_figures(history: History) -> dict:
-    """Return the figures between the marks that the script reached."""
+    """Return the figures of the phases between marks, for the marks that the script reached."""
     rest_at, rest_end = history.mark_time("rest"), history.mark_time("rest_end")
     slow_at, slow_end = history.mark_time("slow"), history.mark_time("slow_end")
     break_at, break_end = history.mark_time("break"), history.mark_time("break_end")
@@ -204,9 +204,9 @@
     if rest_at is not None and rest_end is not None:
         steady = sum(rest_at <= at < rest_end for at in read_times) / (rest_end - rest_at)
         outage["list_reads_s_steady"] = round(steady, 1)
-        outage["unconfirmed_at_rest"] = unconfirmed(history, rest_at, rest_end)
+        outage["unconfirmed_at_rest"] = count_unconfirmed_lists(history, rest_at, rest_end)
     if slow_at is not None and slow_end is not None:
-        outage["sessions_left"] = sessions_left(history, slow_at, slow_end)
+        outage["sessions_left"] = count_left_sessions(history, slow_at, slow_end)
     if break_at is not None and break_end is not None:
         counted_until = break_end + SESSIONS_AFTER_BREAK_SECONDS
         sessions = history.select("session", since=break_end, until=counted_until)
@@ -216,17 +216,17 @@
 
 
 def broken(run_figures: dict, nodes: int, limits: dict[str, float]) -> list[str]:
-    """Describe the limits that a run missed.
+    """Describe the limits that a run exceeded.
 
     Args:
-        run_figures: What `figures` returned.
-        nodes: Instances that must be ready.
-        limits: The greatest value that each figure may have, beside those of `ALWAYS`.
+        run_figures: The result of `figures`.
+        nodes: Number of instances that must be ready.
+        limits: Maximum value of each figure, in addition to `ZERO_FIGURES`.
 
     Returns:
-        One text for each limit; empty for a sound run.
+        One text for each exceeded limit; empty if the run kept all limits.
     """
-    missed = [f"{name}: {run_figures[name]}" for name in ALWAYS if run_figures.get(name, 0)]
+    missed = [f"{name}: {run_figures[name]}" for name in ZERO_FIGURES if run_figures.get(name, 0)]
     for name, limit in limits.items():
         if name not in run_figures:
             missed.append(f"{name}: not measured")
--- a/applevale/checkers/drains.py
+++ b/applevale/checkers/drains.py
@@ -1,4 +1,4 @@
-"""Drains of engines: when each was committed, and for how long new requests still arrived after it."""
+"""Finds drains of engines: when each was committed and for how long new requests still arrived."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from dataclasses import dataclass
 from math import inf
 
-MAX_DRAIN_LAG_SECONDS = 0.5  # from a drain's commit to the last new request at that engine
+MAX_DRAIN_LAG_SECONDS = 0.5  # maximum time from the commit of a drain to the engine's last new request
 
 
 @dataclass(frozen=True)
 class ListingChange:
-    """A committed change of an entry in the list of engines.
+    """A committed change of an entry in the engine list.
 
     Attributes:
         committed_at: Time of the commit, in seconds.
-        key: The entry's key.
-        ready_address: The engine, if it is listed as ready from then on; None if it is not.
+        key: The key of the entry.
+        ready_address: The engine's address if it is listed as ready after the change, otherwise None.
     """
 
     committed_at: float
@@ -31,9 +31,9 @@
 
     Attributes:
         committed_at: Time of its commit, in seconds.
-        last_arrival: The last new request after it that reached the engine before it was listed as ready
-            again; where there was none, `committed_at`.
-        address: The engine.
+        last_arrival: Arrival of the last new request that reached the engine after the commit and before the
+            engine was listed as ready again, in seconds; `committed_at` if there was none.
+        address: The address of the engine.
     """
 
     committed_at: float
@@ -42,31 +42,36 @@
 
     @property
     def lag(self) -> float:
-        """Seconds for which new requests still arrived."""
+        """Time for which new requests still arrived after the commit, in seconds."""
         return self.last_arrival - self.committed_at
 
 
 class _DrainTracker:
-    """Follows the changes of a list of engines, and collects the drains that have ended."""
+    """Follows the changes of an engine list and collects the drains that have ended.
+
+    Attributes:
+        ready_addresses: The address of each entry that is listed as ready, by key.
+        open_drains: Commit time of each drain that has not ended, by address.
+    """
 
     def __init__(self, arrivals: Mapping[str, Sequence[float]]):
         self.arrivals = arrivals
-        self.ready_addresses: dict[str, str] = {}  # by key
-        self.open_drains: dict[str, float] = {}  # times of the commits, by address
+        self.ready_addresses: dict[str, str] = {}
+        self.open_drains: dict[str, float] = {}
         self.ended: list[Drain] = []
 
     def apply(self, change: ListingChange) -> None:
-        """Begin and end drains as a change says."""
-        former = self.ready_addresses.pop(change.key, None)
-        is_drain = former is not None and former != change.ready_address
-        if is_drain and former not in self.ready_addresses.values():
-            self.open_drains.setdefault(former, change.committed_at)
+        """Start and end drains according to a change."""
+        previous_address = self.ready_addresses.pop(change.key, None)
+        is_drain = previous_address is not None and previous_address != change.ready_address
+        if is_drain and previous_address not in self.ready_addresses.values():
+            self.open_drains.setdefault(previous_address, change.committed_at)
         if change.ready_address is not None:
             self.end_drain(change.ready_address, change.committed_at)
             self.ready_addresses[change.key] = change.ready_address
 
     def end_drain(self, address: str, until: float) -> None:
-        """End the drain of an engine, if there is one, and look for the last arrival up to `until`."""
+        """End the drain of an engine, if there is one, with the last arrival up to `until`."""
         committed_at = self.open_drains.pop(address, None)
         if committed_at is None:
             return
@@ -77,12 +82,12 @@
 
 
 def find_drains(changes: Iterable[ListingChange], arrivals: Mapping[str, Sequence[float]]) -> list[Drain]:
-    """Return all drains and deletions, in the order in which they ended.
+    """Return all drains and deletions of engines, in the order of their ends.
 
     Args:
-        changes: The changes of the list, in the order of their commits.
-        arrivals: The ascending times at which requests reached each engine, by its address, in seconds of the
-            same clock.
+        changes: The changes of the list, in commit order.
+        arrivals: Arrival times of requests by engine address, ascending, in seconds of the same clock as the
+            commits.
     """
     tracker = _DrainTracker(arrivals)
     for change in changes:
--- a/applevale/checkers/history.py
+++ b/applevale/checkers/history.py
@@ -1,21 +1,21 @@
-"""The history of a run: events in the order of their times, as JSON lines.
+"""The history of a run: events sorted by time, stored as JSON lines.
 
-Each event has `at` (seconds of the monotonic clock that all processes of a machine share), `event` and, where
-it belongs to a process, `who`. Events that programs report of themselves and events that fakes observe have
-names of their own:
+Each event has the fields `at` (seconds of the monotonic clock, which all processes of a machine share),
+`event` (its name) and, if it belongs to a process, `who`. Events that a program reports about itself and
+events that a fake observes have different names:
 
 | event | who | fields |
 | --- | --- | --- |
-| `launched`, `ended` | instance | `how`: start, kill, term |
+| `launched`, `ended` | instance | `how`: `start`, `kill` or `term` |
 | `listening`, `ready`, `list` | instance, reported by itself | `ready`; `confirmed` |
 | `read` | instance, observed by the registry | `out`, `member`, `whole`, `answered`, `caller` |
 | `session`, `session_end` | instance, observed by the registry | `member`, `caller` |
 | `commit` | | `key`, `engine`, `address`, `state` (`gone`: deleted) |
 | `connect`, `arrival` | instance, observed by an engine | `engine` (its address); `ref`, `lane` |
 | `fell` | | `engine` |
-| `said` | instance, reported by itself | `text`, of a staleness limit that it cannot keep |
-| `fault` | | the step |
-| `mark` | | `name`: the point that the script reached |
+| `said` | instance, reported by itself | `text`: warning that a staleness limit cannot be kept |
+| `fault` | | the fields of the step |
+| `mark` | | `name`: the point in the script that was reached |
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class History:
-    """Events of a run, sorted by time; events of equal times keep their order."""
+    """Events of a run, sorted by time; events at the same time keep their order."""
 
     def __init__(self, events: Iterable[dict] = ()):
         """Create a history.
@@ -42,17 +42,17 @@
     def select(
         self, *names: str, since: float = DISTANT_PAST, until: float = DISTANT_FUTURE
     ) -> Iterator[dict]:
-        """Iterate over the events with one of the names, from `since` on and before `until` (seconds)."""
+        """Iterate over the events with one of the names at `since` (inclusive) to `until` (exclusive)."""
         return (event for event in self.events if event["event"] in names and since <= event["at"] < until)
 
     def mark_time(self, name: str) -> float | None:
-        """Return when the script first reached a point, in seconds; None: never."""
+        """Return when the script first reached a mark, in seconds, or None if it never did."""
         return next((event["at"] for event in self.select("mark") if event["name"] == name), None)
 
     def by_process(
         self, *names: str, since: float = DISTANT_PAST, until: float = DISTANT_FUTURE
     ) -> dict[str, list[dict]]:
-        """Return what `select` gives, grouped by `who`."""
+        """Return the selected events grouped by `who`; see `select` for the arguments."""
         grouped: dict[str, list[dict]] = {}
         for event in self.select(*names, since=since, until=until):
             grouped.setdefault(event["who"], []).append(event)
@@ -71,17 +71,17 @@
 
 
 def max_in_window(times: Iterable[float], window: float) -> int:
-    """Return the greatest number of times that lie within any window of `window` seconds."""
+    """Return the maximum number of times within any window of `window` seconds."""
     ordered = sorted(times)
-    greatest = 0
+    max_count = 0
     first = 0
     for index, time in enumerate(ordered):
         while ordered[first] <= time - window:
             first += 1
-        greatest = max(greatest, index - first + 1)
-    return greatest
+        max_count = max(max_count, index - first + 1)
+    return max_count
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return the value below which a share (0 to 1) of the values lies; 0 where there are none."""
+    """Return the quantile of some values at a share from 0 to 1; 0 if there are no values."""
     return sorted(values)[min(len(values) - 1, int(share * len(values)))] if values else 0.0
--- a/applevale/checkers/membership.py
+++ b/applevale/checkers/membership.py
@@ -1,8 +1,9 @@
-"""Checks the guarantees of membership on a history: who was held dead, when, and whether that was true.
+"""Checks the membership guarantees on a history: which members were reported dead, when, and whether rightly.
 
-What members held is read from their `view` events, and at the end from `held`. A member counts as reachable
-at a time if for `GRACE_SECONDS` before it ran, was not paused, and was cut off in neither direction from most
-of the others that ran: the news of a return have to spread.
+The views of members are read from their `view` events, and their final views from `held` events. A member
+counts as reachable at a time if for the preceding `GRACE_SECONDS` it ran, was not paused, and was not cut
+off, in either direction, from half or more of the other running members. The grace period allows for the time
+in which the news of a return spreads.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from .membership_truth import GroundTruth
 
 GRACE_SECONDS = 1.0
-KNOWN_SECONDS = 5.0  # after an end without a return, within which others must know of it
-SAME_CHANGE_SECONDS = 0.5  # within which changes of the truth are taken as one
-RATE_WINDOW_SECONDS = 0.95  # any second, of buckets that hold a tenth of one
-MAX_AGREEMENT_SECONDS = 3.0  # 99th percentile
+DETECTION_DEADLINE_SECONDS = 5.0  # others must detect a permanent end of a process within this time
+CHANGE_MERGE_SECONDS = 0.5  # actual changes less than this apart count as one
+RATE_WINDOW_SECONDS = 0.95  # covers the ten 0.1 s buckets of one second of recorded traffic
+MAX_AGREEMENT_SECONDS = 3.0  # limit on the 99th percentile of the time until all others know of an end
 
-# The most that a figure may be, in each run.
-ALWAYS = {
+# Maximum values of figures in each run.
+COMMON_LIMITS = {
     "false_dead": 0,
     "missed": 0,
     "wrong_views": 0,
@@ -34,7 +35,13 @@
 
 @dataclass(frozen=True)
 class ObservedChange:
-    """A change that a member announced: when, of whom, and how (`joined`, `restarted`, `died`, `left`)."""
+    """A change in an observer's view.
+
+    Attributes:
+        at: When the observer reported it, in seconds.
+        name: The member that changed.
+        change: `joined`, `restarted`, `died` or `left`.
+    """
 
     at: float
     name: str
@@ -43,7 +50,7 @@
 
 @dataclass(frozen=True)
 class FalseDeath:
-    """A reachable member that an observer held dead or left."""
+    """A reachable member that an observer reported as dead or left, at a time in seconds."""
 
     at: float
     observer: str
@@ -52,12 +59,12 @@
 
 @dataclass
 class DetectionTimes:
-    """How soon others knew of members that were killed and stayed away.
+    """How soon others detected the members that were killed and not restarted soon.
 
     Attributes:
-        first: Seconds until the first other knew, for each end.
-        last: Seconds until the last other knew, for each end.
-        missed: Pairs of a reachable member and an ended one of which the former never knew.
+        first: Seconds until the first other member detected each end.
+        last: Seconds until the last other member detected each end.
+        missed: Number of pairs of a reachable member and an end that it never detected.
     """
 
     first: list[float] = field(default_factory=list)
@@ -66,37 +73,37 @@
 
 
 def figures(history: History) -> dict:
-    """Return the figures of a run, by the names under which the harness prints them."""
+    """Return the figures of a run, under the names that the harness prints them with."""
     truth = GroundTruth(history)
     joined_at = history.mark_time("joined") or 0.0
     end = max((event["at"] for event in history.events), default=0.0)
     detection = detection_times(history, truth, end)
-    false = false_deaths(history, truth)
+    wrong_reports = false_deaths(history, truth)
     shares = [event["total"] for event in history.select("shares")]
     share_figures = {"share_sum_max": round(max(shares), 3)} if shares else {}
     return share_figures | {
         "members": len(truth.names),
-        "false_dead": len(false),
-        "false_dead_members": len({death.name for death in false}),
+        "false_dead": len(wrong_reports),
+        "false_dead_members": len({death.name for death in wrong_reports}),
         "missed": detection.missed,
         "killed": len(detection.first),
-        "detect_s": _summary(detection.first),
-        "agree_s": _summary(detection.last),
-        "view_changes": _most_view_changes(history, truth, joined_at),
-        "view_changes_needed": _needed_changes(truth, joined_at),
-        "rejoin_s": _summary(rejoin_times(history, truth)),
+        "detect_s": _percentiles(detection.first),
+        "agree_s": _percentiles(detection.last),
+        "view_changes": _max_view_changes(history, truth, joined_at),
+        "view_changes_needed": _count_needed_changes(truth, joined_at),
+        "rejoin_s": _percentiles(rejoin_times(history, truth)),
         "wrong_views": wrong_views(history, truth),
-        "bytes_s_max": _most_bytes_per_second(history),
+        "bytes_s_max": _max_bytes_per_second(history),
         "datagram_max": max((event["most"] for event in history.select("sent")), default=0),
-        "datagrams_s_max": _most_datagrams_per_second(history),
+        "datagrams_s_max": _max_datagrams_per_second(history),
     }
 
 
 def broken(run_figures: dict, limits: dict[str, float]) -> list[str]:
-    """Return a line for each limit that the figures of a run exceed; `limits` are added to `ALWAYS`."""
+    """Return a line for each limit, from `COMMON_LIMITS` or `limits`, that the figures of a run exceed."""
     exceeded = [
         f"{name}: {run_figures[name]}, over {limit:g}"
-        for name, limit in (ALWAYS | limits).items()
+        for name, limit in (COMMON_LIMITS | limits).items()
         if run_figures.get(name, 0) > limit
     ]
     if run_figures["agree_s"]["p99"] > MAX_AGREEMENT_SECONDS:
@@ -105,16 +112,18 @@
 
 
 def false_deaths(history: History, truth: GroundTruth) -> list[FalseDeath]:
-    """Return the announcements by which a reachable member was held dead or left."""
+    """Return the reports by which an observer declared a reachable member dead or left."""
     clean_ends = [end for end in truth.ends if end.how == "term"]
     deaths = []
     for observer, changes in _changes_by_observer(history).items():
         for observed in changes:
+            # A member announces that it leaves before its process ends.
             is_leave = observed.change == "left" and any(
-                end.name == observed.name and end.at - KNOWN_SECONDS <= observed.at <= end.at + KNOWN_SECONDS
+                end.name == observed.name
+                and end.at - DETECTION_DEADLINE_SECONDS <= observed.at <= end.at + DETECTION_DEADLINE_SECONDS
                 for end in clean_ends
             )
-            if is_leave or observed.change not in ("died", "left"):  # a leave is announced before the end
+            if is_leave or observed.change not in ("died", "left"):
                 continue
             if truth.is_reachable(observed.name, observed.at - GRACE_SECONDS, observed.at):
                 deaths.append(FalseDeath(observed.at, observer, observed.name))
@@ -122,12 +131,12 @@
 
 
 def detection_times(history: History, truth: GroundTruth, end: float) -> DetectionTimes:
-    """Return how soon others knew of members that were killed and stayed away."""
-    times = DetectionTimes()
+    """Return how soon others detected the members that were killed and not restarted soon."""
+    detection = DetectionTimes()
     changes = _changes_by_observer(history)
     for process_end in truth.ends:
         until = min(process_end.restarted_at, end)
-        if process_end.how != "kill" or until - process_end.at < KNOWN_SECONDS:
+        if process_end.how != "kill" or until - process_end.at < DETECTION_DEADLINE_SECONDS:
             continue
         delays = []
         for observer in truth.names:
@@ -142,17 +151,17 @@
             )
             delay = next(deaths, None)
             if delay is None:
-                times.missed += 1
+                detection.missed += 1
             else:
                 delays.append(delay)
         if delays:
-            times.first.append(min(delays))
-            times.last.append(max(delays))
-    return times
+            detection.first.append(min(delays))
+            detection.last.append(max(delays))
+    return detection
 
 
 def rejoin_times(history: History, truth: GroundTruth) -> list[float]:
-    """Return the seconds until a member held dead was held alive again, from when it could be reached."""
+    """Return the seconds from when a member could be reached again until an observer saw it alive again."""
     returned_at: dict[str, list[float]] = defaultdict(list)
     for member_return in truth.returns():
         returned_at[member_return.name].append(member_return.at)
@@ -171,7 +180,7 @@
 
 
 def wrong_views(history: History, truth: GroundTruth) -> int:
-    """Return how many members' last view differs from who is alive."""
+    """Return how many living members have a final view that differs from the set of living members."""
     last_views = {event["who"]: event for event in history.select("held")}
     return sum(
         event["view"] is None or set(event["view"]) != truth.alive(event["at"])
@@ -189,20 +198,20 @@
     return changes_by_observer
 
 
-def _most_view_changes(history: History, truth: GroundTruth, since: float) -> int:
+def _max_view_changes(history: History, truth: GroundTruth, since: float) -> int:
     counts = dict.fromkeys(truth.names, 0)
     for event in history.select("view", since=since):
         counts[event["who"]] += 1
     return max(counts.values(), default=0)
 
 
-def _needed_changes(truth: GroundTruth, since: float) -> int:
-    """Return the changes of who is alive, those close together taken as one."""
+def _count_needed_changes(truth: GroundTruth, since: float) -> int:
+    """Return the number of changes in the set of living members; changes close together count as one."""
     times = sorted(change.at for change in (*truth.ends, *truth.starts) if change.at > since)
-    return sum(1 for at, before in zip(times, [-inf, *times]) if at - before > SAME_CHANGE_SECONDS)
+    return sum(1 for at, before in zip(times, [-inf, *times]) if at - before > CHANGE_MERGE_SECONDS)
 
 
-def _summary(values: list[float]) -> dict[str, float]:
+def _percentiles(values: list[float]) -> dict[str, float]:
     return {
         "p50": round(quantile(values, 0.5), 2),
         "p99": round(quantile(values, 0.99), 2),
@@ -210,13 +219,13 @@
     }
 
 
-def _most_bytes_per_second(history: History) -> int:
-    """Return the most bytes that any member sent in any second."""
-    return max((_most_bytes(events) for events in history.by_process("sent").values()), default=0)
+def _max_bytes_per_second(history: History) -> int:
+    """Return the maximum number of bytes that any member sent in a second."""
+    return max((_max_bytes_in_window(events) for events in history.by_process("sent").values()), default=0)
 
 
-def _most_bytes(events: list[dict]) -> int:
-    largest = 0
+def _max_bytes_in_window(events: list[dict]) -> int:
+    max_total = 0
     total = 0
     first = 0
     for event in events:
@@ -224,12 +233,12 @@
         while events[first]["at"] <= event["at"] - RATE_WINDOW_SECONDS:
             total -= events[first]["bytes"]
             first += 1
-        largest = max(largest, total)
-    return largest
+        max_total = max(max_total, total)
+    return max_total
 
 
-def _most_datagrams_per_second(history: History) -> int:
-    """Return the most datagrams that any member sent in any second."""
+def _max_datagrams_per_second(history: History) -> int:
+    """Return the maximum number of datagrams that any member sent in a second."""
     times_by_member = (
         [event["at"] for event in events for _ in range(event["count"])]
         for events in history.by_process("sent").values()
--- a/applevale/checkers/membership_truth.py
+++ b/applevale/checkers/membership_truth.py
@@ -1,4 +1,4 @@
-"""When each member of a run was alive and reachable, from what the harness did, not from what members say."""
+"""When each member of a run was alive and reachable, according to the actions of the harness."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True)
 class Interval:
-    """A span of time, in seconds; the end may be infinite."""
+    """A period of time, in seconds; the end may be infinite."""
 
     start: float
     end: float
 
     def overlaps(self, since: float, until: float) -> bool:
-        """Return whether it has a time in common with another span."""
+        """Return whether the interval overlaps the period from `since` to `until`."""
         return self.start < until and self.end > since
 
 
 @dataclass(frozen=True)
 class Cut:
-    """An interval in which no datagram came from the sources to the targets."""
+    """An interval in which no datagram from the sources reached the targets."""
 
     interval: Interval
     sources: set[str]
@@ -44,8 +44,8 @@
     Attributes:
         at: When it ended, in seconds.
         name: The member.
-        how: `kill` or `term`.
-        restarted_at: When the member was launched again; infinite: never.
+        how: Cause of the end, `kill` or `term`.
+        restarted_at: When the member was launched again, in seconds; infinite if it never was.
     """
 
     at: float
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class ProcessStart:
-    """The launch of a member's process."""
+    """The launch of a member's process, at a time in seconds."""
 
     at: float
     name: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Return:
-    """A time at which a member may have become reachable again."""
+    """A time, in seconds, at which a member may have become reachable again."""
 
     at: float
     name: str
@@ -74,13 +74,13 @@
     """When each member ran and was paused, and which pairs were cut off from each other.
 
     Attributes:
-        names: All members, sorted.
-        starts: The launches, in the order of their times.
-        ends: The ends, in the order of their times.
+        names: Names of all members, sorted.
+        starts: The launches, sorted by time.
+        ends: The ends, sorted by time.
     """
 
     def __init__(self, history: History):
-        """Read the truth from the events `launched`, `ended` and `fault`."""
+        """Derive the truth from the events `launched`, `ended` and `fault`."""
         self.names = sorted({event["who"] for event in history.select("launched")})
         self.starts: list[ProcessStart] = []
         self.ends: list[ProcessEnd] = []
@@ -92,7 +92,7 @@
             self._read_fault(event)
 
     def ran(self, name: str, since: float, until: float) -> bool:
-        """Return whether a member ran all the time, without an end or a pause of any length."""
+        """Return whether a member ran from `since` to `until` without an end or a pause."""
         has_run = any(interval.start <= since and until <= interval.end for interval in self._running[name])
         return has_run and not any(interval.overlaps(since, until) for interval in self._paused[name])
 
@@ -106,7 +106,7 @@
         return 2 * len(separated) < len(others)
 
     def alive(self, at: float) -> set[str]:
-        """Return the members whose process ran at a time."""
+        """Return the members whose process was running at a time."""
         return {
             name
             for name in self.names
@@ -114,7 +114,7 @@
         }
 
     def returns(self) -> list[Return]:
-        """Return when members could be reached again, after a start, a pause or a cut, sorted."""
+        """Return when members became reachable by a start or by the end of a pause or cut, sorted by time."""
         returns = [Return(start.at, start.name) for start in self.starts]
         for name in self.names:
             returns += [Return(pause.end, name) for pause in self._paused[name]]
@@ -144,14 +144,14 @@
     def _read_fault(self, event: dict) -> None:
         at = event["at"]
         if event["do"] in ("stop", "stall"):
-            for name in self._matching(event["who"]):
+            for name in self._matching_names(event["who"]):
                 for repetition in range(event.get("times", 1)):
                     start = at + repetition * event.get("apart", 0.0)
                     self._paused[name].append(Interval(start, start + event["span"]))
         elif event["do"] == "link" and event["fate"].get("cut"):
-            sources = set(self._matching(event["sources"]))
-            targets = set(self._matching(event["targets"]))
+            sources = set(self._matching_names(event["sources"]))
+            targets = set(self._matching_names(event["targets"]))
             self._cuts.append(Cut(Interval(at, at + event["span"]), sources, targets))
 
-    def _matching(self, patterns: list[str]) -> list[str]:
+    def _matching_names(self, patterns: list[str]) -> list[str]:
         return [name for name in self.names if any(fnmatchcase(name, pattern) for pattern in patterns)]
--- a/applevale/checkers/views.py
+++ b/applevale/checkers/views.py
@@ -1,4 +1,4 @@
-"""The last reported views of members, read from a history or from the events that instances write."""
+"""The last views that members reported, from a history or from the log events of instances."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 @dataclass
 class ReportedView:
-    """What an instance last reported.
+    """The last view that an instance reported.
 
     Attributes:
-        status: Its own status, empty where its view came without one; None: neither was reported.
-        members: Names of the members that it holds alive; None: never reported.
-        changed_at: Time of its last change, in seconds.
-        changes: Its last changes, as text; empty: none.
+        status: The status of the instance itself; empty if it reported a view without a status, None if it
+            reported neither.
+        members: Names of the members in its view; None if it reported no view.
+        changed_at: Time of the last change of the view, in seconds.
+        changes: The last changes of the view, as text; empty if there were none.
     """
 
     status: str | None = None
@@ -27,18 +28,18 @@
     changes: str = ""
 
     def describe(self, name: str) -> str:
-        """Return the view as one row of text."""
+        """Return the view of the instance `name` as one row of text."""
         if self.members is None:
-            living = "its view was not asked for"
+            members_text = "no view was reported"
         else:
-            living = f"{len(self.members)} live: {' '.join(self.members)}"
+            members_text = f"{len(self.members)} live: {' '.join(self.members)}"
         status = "?" if self.status is None else self.status
-        last = f"; at {self.changed_at:.2f}: {self.changes}" if self.changes else ""
-        return f"{name:6} {status:10} {living}{last}"
+        last_change = f"; at {self.changed_at:.2f}: {self.changes}" if self.changes else ""
+        return f"{name:6} {status:10} {members_text}{last_change}"
 
 
 def read_lines(lines: Iterable[bytes]) -> Iterator[dict]:
-    """Iterate over the events among JSON lines; anything else in a log is skipped."""
+    """Iterate over the events in JSON lines; all other lines of a log are skipped."""
     for line in lines:
         try:
             event = msgspec.json.decode(line)
@@ -49,16 +50,16 @@
 
 
 def last_views(events: Iterable[dict]) -> list[str]:
-    """Return a row of text for each instance: its own status, whom it holds alive, its last changes."""
+    """Return a row of text for each instance: its status, the members in its view and its last changes."""
     views: dict[str, ReportedView] = {}
     for event in events:
         if event["event"] in ("stand", "held", "members", "view"):
             name = str(event.get("who") or event.get("instance") or "")
-            _apply(event, views.setdefault(name, ReportedView()))
+            _apply_event(event, views.setdefault(name, ReportedView()))
     return [views[name].describe(name) for name in sorted(views, key=lambda name: (len(name), name))]
 
 
-def _apply(event: dict, view: ReportedView) -> None:
+def _apply_event(event: dict, view: ReportedView) -> None:
     match event["event"]:
         case "stand":
             view.status = str(event["stand"])
