--- a/applevale/fakes/etcd.py
+++ b/applevale/fakes/etcd.py
@@ -12,7 +12,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Server, Stream
 
-from ..discovery.registry import messages as m
+from ..discovery.registry import messages
 from .etcd_watch import WatchStream, key_value
 from .key_value_store import CompactedError, KeyValueStore
 from .service_capacity import ServiceCapacity
@@ -89,7 +89,7 @@
         silences_watches: Whether watches send nothing while reads are still answered.
         duplicates_events: Whether each event is sent twice.
         full_read_delay: Delay of a full read, in seconds.
-        call_delay: Delay of every read, added to that of full reads, in seconds.
+        read_delay: Delay of every read, added to that of full reads, in seconds.
         capacity: Capacity of the service; several members may share one.
         on_read: Called with each read when it has ended.
         on_session_change: Called with the caller's address and True when a connection opens, False when it
@@ -117,7 +117,7 @@
         self.silences_watches = False
         self.duplicates_events = False
         self.full_read_delay = 0.0
-        self.call_delay = 0.0
+        self.read_delay = 0.0
         self.read_count = 0
         self.watch_count = 0
         self.capacity = capacity or ServiceCapacity()
@@ -152,17 +152,24 @@
     def __mapping__(self) -> dict[str, Handler]:
         """Return the handler of each call, as grpclib requires."""
         return {
-            m.RANGE: Handler(self._range, Cardinality.UNARY_UNARY, m.RangeRequest, m.RangeResponse),
-            m.WATCH: Handler(self._watch, Cardinality.STREAM_STREAM, m.WatchRequest, m.WatchResponse),
-            m.AUTHENTICATE: Handler(
-                self._authenticate, Cardinality.UNARY_UNARY, m.AuthenticateRequest, m.AuthenticateResponse
+            messages.RANGE: Handler(
+                self._range, Cardinality.UNARY_UNARY, messages.RangeRequest, messages.RangeResponse
+            ),
+            messages.WATCH: Handler(
+                self._watch, Cardinality.STREAM_STREAM, messages.WatchRequest, messages.WatchResponse
+            ),
+            messages.AUTHENTICATE: Handler(
+                self._authenticate,
+                Cardinality.UNARY_UNARY,
+                messages.AuthenticateRequest,
+                messages.AuthenticateResponse,
             ),
         }
 
     def header(self) -> object:
         """Return a response header with the current revision."""
         revision = self.visible_store.revision
-        return m.ResponseHeader(cluster_id=self.store.cluster_id, member_id=1, revision=revision)
+        return messages.ResponseHeader(cluster_id=self.store.cluster_id, member_id=1, revision=revision)
 
     def _check_token(self, stream: Stream) -> None:
         has_token = not self.users or stream.metadata.get("token") in self.users.values()
@@ -175,7 +182,7 @@
         if self.rejects_credentials or not is_known:
             raise GRPCError(Status.INVALID_ARGUMENT, "etcdserver: authentication failed")
         token = self.users[request.name]
-        await stream.send_message(m.AuthenticateResponse(header=self.header(), token=token))
+        await stream.send_message(messages.AuthenticateResponse(header=self.header(), token=token))
 
     async def _range(self, stream: Stream) -> None:
         request = await stream.recv_message()
@@ -193,7 +200,7 @@
         delay = self.capacity.reserve(time.monotonic())
         if delay is None:
             raise GRPCError(Status.RESOURCE_EXHAUSTED, "etcdserver: too many requests")
-        delay += self.call_delay + (self.full_read_delay if read.is_full else 0.0)
+        delay += self.read_delay + (self.full_read_delay if read.is_full else 0.0)
         if delay:
             await asyncio.sleep(delay)
         try:
@@ -202,7 +209,7 @@
             raise GRPCError(
                 Status.OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted"
             ) from None
-        answer = m.RangeResponse(header=self.header(), count=len(versions))
+        answer = messages.RangeResponse(header=self.header(), count=len(versions))
         if not request.count_only:
             page = versions[: request.limit or len(versions)]
             answer.more = len(page) < len(versions)
--- a/applevale/fakes/etcd_watch.py
+++ b/applevale/fakes/etcd_watch.py
@@ -8,7 +8,7 @@
 from grpclib.exceptions import StreamTerminatedError
 from grpclib.server import Stream
 
-from ..discovery.registry import messages as m
+from ..discovery.registry import messages
 from .key_value_store import CompactedError, KeyVersion
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     async def serve(self) -> None:
         """Confirm the watch and send events as changes are committed; return when the watch has ended."""
         member = self.member
-        await self.stream.send_message(m.WatchResponse(header=member.header(), created=True))
+        await self.stream.send_message(messages.WatchResponse(header=member.header(), created=True))
         member.visible_store.changed.add(self._changed)
         progress_task = asyncio.create_task(self._answer_progress_requests())
         try:
@@ -75,7 +75,7 @@
     async def _send_progress(self) -> None:
         async with self._send_lock:
             await self.stream.send_message(
-                m.WatchResponse(header=self.member.header(), watch_id=PROGRESS_WATCH_ID)
+                messages.WatchResponse(header=self.member.header(), watch_id=PROGRESS_WATCH_ID)
             )
 
     async def _send_pending_events(self) -> bool:
@@ -98,12 +98,12 @@
         header.revision = versions[-1].revision
         for _ in range(2 if self.member.duplicates_events else 1):
             await self.stream.send_message(
-                m.WatchResponse(header=header, events=[_event(version) for version in versions])
+                messages.WatchResponse(header=header, events=[_event(version) for version in versions])
             )
         self.next_revision = versions[-1].revision + 1
 
     def _cancellation(self) -> object:
-        return m.WatchResponse(
+        return messages.WatchResponse(
             header=self.member.header(),
             canceled=True,
             compact_revision=self.member.visible_store.compacted_revision,
@@ -113,7 +113,7 @@
 
 def key_value(version: KeyVersion) -> object:
     """Return the etcd message for a version of a key."""
-    return m.KeyValue(
+    return messages.KeyValue(
         key=version.key,
         create_revision=version.create_revision,
         mod_revision=version.revision,
@@ -122,4 +122,6 @@
 
 
 def _event(version: KeyVersion) -> object:
-    return m.Event(type=m.DELETE if version.value is None else m.PUT, kv=key_value(version))
+    return messages.Event(
+        type=messages.DELETE if version.value is None else messages.PUT, kv=key_value(version)
+    )
--- a/applevale/fakes/registry_host.py
+++ b/applevale/fakes/registry_host.py
@@ -60,7 +60,7 @@
             "put": self._put,
             "delete": self._delete,
             "capacity": self._set_capacity,
-            "late": self._delay_calls,
+            "late": self._delay_reads,
             "mute": self._silence_watches,
             "compact": self._compact,
             "down": self._stop_members,
@@ -138,9 +138,9 @@
         self.capacity.rate = values.get("rate", inf)
         self.capacity.max_wait = values.get("most", inf)
 
-    async def _delay_calls(self, values: dict) -> None:
+    async def _delay_reads(self, values: dict) -> None:
         for member in self._selected_members(values):
-            member.call_delay = values["seconds"]
+            member.read_delay = values["seconds"]
 
     async def _silence_watches(self, values: dict) -> None:
         for member in self._selected_members(values):
