--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -1,9 +1,9 @@
-"""What one request and one event of the list cost the decision module, by the number of engines.
+"""CPU time that one request and one engine list event cost the decision module, by the number of engines.
 
     python benchmarks/fleet_cost.py [OTHER]
 
-OTHER is a folder with another version of the package (`git worktree add OTHER REV`); both versions then run
-in turns, each in a process of its own, and the least of several rounds is printed for each.
+OTHER is a folder with another version of the package (`git worktree add OTHER REV`). Each round runs in a
+process of its own; the minimum of all rounds is printed for each version.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 REQUEST_COUNT = 300
 LIST_EVENT_COUNT = 40
 ROUND_COUNT = 3
-INTERVAL_SECONDS = 0.1  # of the decision module's clock, between two requests or events
+INTERVAL_SECONDS = 0.1  # between two requests or events, by the clock of the decision module
 START_SECONDS = 100.0
 MICROSECONDS = 1e6
 MEASURE_OPTION = "--measure"
-SETTINGS = {  # those that a version does not know are left out
+SETTINGS = {  # A version is given only the settings that it has.
     "gateways": 40,
     "may_probe": True,
     "may_cancel": True,
@@ -35,11 +35,11 @@
 
 
 class PolicyBenchmark:
-    """A decision module with a number of engines, and a clock."""
+    """A decision module with a number of engines and a simulated clock."""
 
     def __init__(self, engine_count: int):
         """Create the module and list its engines."""
-        from applevale import api  # of the version under test, whose folder is on the path by now
+        from applevale import api  # the version under test, whose folder is first on the path
         from applevale.policy import AdmissionController
 
         self.api: Any = api
@@ -55,7 +55,7 @@
         self.controller.handle(self.now, [api.EngineList(engines, whole=True)])
 
     def time_requests(self) -> float:
-        """Return the microseconds of a request with its outcome."""
+        """Return the mean time of a request with its outcome, in microseconds."""
         started_at = time.perf_counter()
         for number in range(REQUEST_COUNT):
             self.now += INTERVAL_SECONDS
@@ -66,7 +66,7 @@
         api = self.api
         request = api.Request(number, 0, ttl=4.0, work=0.2, memory_mb=50.0, tables=float(number % 40))
         actions = self.controller.handle(self.now, [request])
-        # A version that probes first gets its answers, else its requests would pile up in the queue.
+        # A version that probes before it sends needs the results, or its requests would stay in the queue.
         while probed := [action.engine for action in actions if isinstance(action, api.Probe)]:
             results = [api.ProbeResult(engine, api.Result.OK, 0.001, (5.0,)) for engine in probed]
             actions = self.controller.handle(self.now, results)
@@ -75,7 +75,7 @@
             self.controller.handle(self.now + 0.05, [outcome])
 
     def time_list_events(self) -> float:
-        """Return the microseconds of a change of one engine."""
+        """Return the mean time of a list event that changes one engine, in microseconds."""
         api = self.api
         started_at = time.perf_counter()
         for turn in range(LIST_EVENT_COUNT):
@@ -86,7 +86,7 @@
 
 
 def measure() -> dict[str, list[float]]:
-    """Return the microseconds of a request and of a list event, for each number of engines."""
+    """Return the microseconds per request and per list event, for each of `ENGINE_COUNTS`."""
     figures: dict[str, list[float]] = {"request": [], "list_event": []}
     for engine_count in ENGINE_COUNTS:
         benchmark = PolicyBenchmark(engine_count)
@@ -96,7 +96,7 @@
 
 
 def run(folder: Path) -> dict[str, list[float]]:
-    """Measure the version in a folder, in a process of its own."""
+    """Measure the version in a folder in a separate process."""
     completed = subprocess.run(
         [sys.executable, __file__, MEASURE_OPTION, str(folder)], check=True, capture_output=True, text=True
     )
@@ -104,7 +104,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Measure this version, and another one if it is given; return the exit code."""
+    """Measure this version and, if given, another one; return the exit code."""
     if arguments[:1] == [MEASURE_OPTION]:
         sys.path.insert(0, arguments[1])
         print(json.dumps(measure()))
@@ -116,8 +116,8 @@
     print(f"{'us at engines':>20} " + " ".join(f"{count:>8}" for count in ENGINE_COUNTS))
     for kind in ("request", "list_event"):
         for name, results in rounds.items():
-            least = [min(result[kind][index] for result in results) for index in range(len(ENGINE_COUNTS))]
-            print(f"{kind + ' ' + name:>20} " + " ".join(f"{value:8.0f}" for value in least))
+            minimums = [min(result[kind][index] for result in results) for index in range(len(ENGINE_COUNTS))]
+            print(f"{kind + ' ' + name:>20} " + " ".join(f"{value:8.0f}" for value in minimums))
     return 0
 
 
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -1,10 +1,10 @@
-"""What a change of the registry's list costs the program, from 100 to 10,000 engines, and its memory.
+"""CPU time that changes of the engine list cost the program, and its memory, for 100 to 10,000 engines.
 
     python -m benchmarks.registry [etcd|consul]
 
-Prints one line a size: CPU of the program per change in ms (at the rate given, for five seconds), how far
-the list lay behind at the end in s, and its resident memory in MB. The fake registry runs in this process, so
-only the program's own CPU time is counted.
+Changes the list for five seconds at each size and rate and prints one line: the program's CPU time per
+change, how far its list was behind at the end, its resident memory and its CPU usage at rest. The fake
+registry runs in this process, so only the CPU time of the program itself is counted.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from applevale.net.addresses import format_address
 
 KEY_PREFIX = "applevale/engines/"
-CHANGE_SECONDS = 5.0  # for which the list is changed
-IDLE_SECONDS = 2.0  # for which the program is measured at rest
+CHANGE_SECONDS = 5.0  # duration of the changes at each size and rate
+IDLE_SECONDS = 2.0  # duration of the measurement at rest
 SETTLE_SECONDS = 1.0
 WRITE_INTERVAL_SECONDS = 0.005
 START_POLL_SECONDS = 0.1
@@ -48,14 +48,14 @@
 
 
 class EngineRegistry:
-    """The engines that the registry lists, and the changes of them.
+    """The engines that the registry lists, and their changes.
 
     Attributes:
-        change_count: Changes that were written.
+        change_count: Number of changes written so far.
     """
 
     def __init__(self, store: KeyValueStore, engine_count: int):
-        """List so many engines as ready."""
+        """List `engine_count` engines as ready."""
         self.store = store
         self.engine_count = engine_count
         self.change_count = 0
@@ -66,7 +66,7 @@
         self.store.put(f"{KEY_PREFIX}{number}".encode(), encode_record(number, state))
 
     async def change(self, rate: int, seconds: float) -> None:
-        """Change one engine after the other, `rate` a second."""
+        """Change one engine after another, `rate` per second, for `seconds`."""
         started_at = time.monotonic()
         while (elapsed := time.monotonic() - started_at) < seconds:
             while self.change_count < elapsed * rate:
@@ -77,41 +77,41 @@
 
 
 class ProgramMeter:
-    """CPU time of a program, and how far it is behind the registry."""
+    """Measures the CPU time and memory of a program, and waits until its list is current."""
 
     def __init__(self, program: ManagedProcess, store: KeyValueStore):
-        """Measure a program that runs."""
+        """Create a meter of a running program that reads from `store`."""
         self.program = program
         self.store = store
 
     def cpu_seconds(self) -> float:
-        """Return the CPU time that the program has taken."""
+        """Return the CPU time that the program has used."""
         return read_usage(self.program.process.pid).cpu_seconds
 
     def memory_mb(self) -> float:
-        """Return its resident memory in MiB."""
+        """Return the resident memory of the program, in MiB."""
         return read_usage(self.program.process.pid).memory_bytes / BYTES_PER_MEBIBYTE
 
     async def idle_share(self) -> float:
-        """Return the share of a core that it takes while nothing changes."""
+        """Return the share of a core that the program uses while nothing changes."""
         cpu_before = self.cpu_seconds()
         started_at = time.monotonic()
         await asyncio.sleep(IDLE_SECONDS)
         return (self.cpu_seconds() - cpu_before) / (time.monotonic() - started_at)
 
     async def wait_until_current(self, poll_seconds: float) -> None:
-        """Wait until its list is the registry's."""
+        """Wait until the program's list has the revision of the registry; check it every `poll_seconds`."""
         while (await self.program.counters()).get("registry_revision") != self.store.revision:
             await asyncio.sleep(poll_seconds)
 
 
 async def measure(kind: str, engine_count: int, rate: int) -> str:
-    """Return the line of one size.
+    """Measure one size and rate, and return the line to print.
 
     Args:
-        kind: `etcd` or `consul`.
-        engine_count: Engines in the list.
-        rate: Changes a second.
+        kind: Kind of the registry, `etcd` or `consul`.
+        engine_count: Number of engines in the list.
+        rate: Changes per second.
     """
     store = KeyValueStore()
     member = MEMBER_TYPES[kind](store)
--- a/examples/ask.py
+++ b/examples/ask.py
@@ -14,15 +14,15 @@
 
 
 def ask(address: str, method: str, statement: str) -> list:
-    """Send a request on a connection of its own, and return the whole answer message.
+    """Send a request over a connection of its own and return the whole answer message.
 
     Args:
-        address: The workload manager, as HOST:PORT.
+        address: The address of the workload manager, as HOST:PORT.
         method: The class of the request.
-        statement: What is to be executed.
+        statement: The statement to execute.
 
     Raises:
-        ConnectionError: The connection was closed before the answer.
+        ConnectionError: If the connection is closed before the answer arrives.
     """
     host, port = address.split(":")
     fields = {"ref": secrets.token_hex(8), "allow": "5000", "effort": "100", "space": "16", "lookup": "7"}
@@ -33,7 +33,7 @@
             unpacker.feed(data)
             for message in unpacker:
                 return message
-    raise ConnectionError("closed before the answer")
+    raise ConnectionError(f"{address}: the connection was closed before the answer")
 
 
 if __name__ == "__main__":
--- a/examples/toy_engine.py
+++ b/examples/toy_engine.py
@@ -1,9 +1,9 @@
-"""A toy engine: answers every request with made-up rows, so that applevale can be tried by hand.
+"""A toy engine that answers every request with made-up rows, to try applevale by hand.
 
     python examples/toy_engine.py 127.0.0.1:7101
 
-`limit N` in a statement asks for N rows. A statement with `hang` is never answered, and one with `die`
-ends the connection.
+A statement with `limit N` returns N rows. A statement with `hang` is never answered, and one with `die`
+closes the connection.
 """
 
 import re
@@ -24,12 +24,12 @@
 
 
 def rows(count: int) -> list[bytes]:
-    """Return the rows of a result."""
+    """Return the made-up rows of a result."""
     return [b"%d\tstation-%d\t%d.5\n" % (number, number % 7, number * 3) for number in range(count)]
 
 
 def pages(count: int) -> list[bytes]:
-    """Return the pages of a result with so many rows; there is at least one."""
+    """Return the pages of a result with `count` rows; there is at least one page."""
     result = [b""]
     for row in rows(count):
         if len(result[-1]) + len(row) > MAX_PAGE_BYTES:
@@ -39,15 +39,15 @@
 
 
 def answer(*words: bytes) -> bytes:
-    """Return the RESP array of these words."""
+    """Return an answer with the given words, encoded as a RESP array."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
 
 class Handler(socketserver.BaseRequestHandler):
-    """One connection, with the results whose pages may still be fetched."""
+    """Serves one connection, and keeps its results so that further pages can be fetched."""
 
     def handle(self) -> None:
-        """Answer commands until the connection ends."""
+        """Answer commands until the connection is closed."""
         reader = hiredis.Reader()
         self.results: dict[bytes, list[bytes]] = {}
         try:
@@ -60,33 +60,33 @@
         except ConnectionError:
             pass
 
-    def handle_command(self, name: bytes, tag: bytes, *arguments: bytes) -> bool:
-        """Answer a command; return False to end the connection."""
+    def handle_command(self, name: bytes, request_id: bytes, *arguments: bytes) -> bool:
+        """Answer a command; return False to close the connection."""
         if name == CMD_EXECUTE:
-            return self._execute(tag, arguments[1])
+            return self._execute(request_id, arguments[1])
         if name == CMD_FETCH_PAGE:
-            self._send_page(tag, int(arguments[0]))
+            self._send_page(request_id, int(arguments[0]))
         elif name in (CMD_PING, CMD_REPORT_LOAD):
-            self.send(answer(tag, b"PONG", LOAD_REPORT, b""))
+            self.send(answer(request_id, b"PONG", LOAD_REPORT, b""))
         return True
 
-    def _execute(self, tag: bytes, statement: bytes) -> bool:
+    def _execute(self, request_id: bytes, statement: bytes) -> bool:
         if b"die" in statement:
             return False
         if b"hang" not in statement:
             limit = re.search(rb"limit (\d+)", statement)
             result = pages(int(limit[1]) if limit else DEFAULT_ROW_COUNT)
-            self.results[tag] = result
+            self.results[request_id] = result
             fields = b"sheets=%d,toil=12,room=4,%b" % (len(result), LOAD_REPORT)
-            self.send(answer(tag, b"HIT", fields, result[0]))
+            self.send(answer(request_id, b"HIT", fields, result[0]))
         return True
 
-    def _send_page(self, tag: bytes, number: int) -> None:
-        result = self.results.get(tag)
+    def _send_page(self, request_id: bytes, number: int) -> None:
+        result = self.results.get(request_id)
         if result and number < len(result):
-            self.send(answer(tag, b"PART", b"sheet=%d" % number, result[number]))
+            self.send(answer(request_id, b"PART", b"sheet=%d" % number, result[number]))
         else:
-            self.send(answer(tag, b"FAULT", b"-", b""))
+            self.send(answer(request_id, b"FAULT", b"-", b""))
 
     def send(self, data: bytes) -> None:
         """Write an answer."""
@@ -94,10 +94,10 @@
 
 
 class ToyEngine(socketserver.ThreadingTCPServer):
-    """A server of toy results.
+    """A server that answers with made-up results.
 
     Attributes:
-        seen: All commands, in the order in which they came.
+        seen: All commands received, in order of arrival.
     """
 
     allow_reuse_address = True
