--- a/tests/planted.py
+++ b/tests/planted.py
@@ -1,4 +1,4 @@
-"""The real program with one planted fault: python -m tests.planted FAULT. For tests of the harnesses."""
+"""The real program with one planted fault, for tests of the harnesses: python -m tests.planted FAULT."""
 
 import sys
 
@@ -28,7 +28,7 @@
 
 
 def ignore_compaction(self, now, session_id):
-    """Continues from the registry's current revision, as if no events had been lost."""
+    """Continue from the registry's current revision, as if no events had been lost."""
     revision = self.session.observed_revision
     self.watched_list.revision = revision
     self.session.watch_revision = revision
@@ -41,12 +41,12 @@
 
 
 def confirm_as_of_response(self, now, session_id, requested_at, revision):
-    """Confirms the list as of the time of a response instead of its request."""
+    """Confirm the list as of the time of the response instead of the request."""
     return on_revision(self, now, session_id, now, revision)
 
 
 def poll_while_one_is_in_flight(self, now, session):
-    """Forgets the poll in flight."""
+    """Forget the poll in flight, so that another one can be sent before its response."""
     commands = send_poll(self, now, session)
     session.poll_sent_at = float("inf")
     session.next_poll_at = self.pacer.next_poll_at(now)
@@ -54,20 +54,21 @@
 
 
 def promote_slow_standby(self, now, standby, revision, cluster_id):
-    """Lets a standby session take over however slow its response was."""
+    """Let a standby session take over, no matter how slow its response was."""
     standby.started_at = now
     return replace_by_faster_standby(self, now, standby, revision, cluster_id)
 
 
 def serving(self):
+    """Report readiness even if the engine list is stale or holds no usable engine."""
     return not self.shutdown_requested.is_set()
 
 
 def never_give_up(self, now, draw):
-    """Lets the guarantee change with each answer."""
+    """Never suspend the staleness guarantee, so that it can change with each answer."""
 
 
-# --- members
+# Faults of the membership protocol.
 
 on_tick = MembershipProtocol.on_tick
 on_own_record = LocalMember.on_own_record
@@ -75,6 +76,7 @@
 
 
 def dead_by_one_observer(self, now, member, incarnation, observers, age=0.0):
+    """Declare a member dead at the first suspicion by one observer."""
     known = self._view.table.records[member]
     if known.is_alive and incarnation & INCARNATION_LOW_MASK == known.incarnation & INCARNATION_LOW_MASK:
         record = MemberRecord(MemberState.DEAD, known.incarnation, known.process_id)
@@ -99,10 +101,11 @@
 
 
 def sync_nothing(self, now, sender):
-    pass
+    """Never request a sync."""
 
 
 def never_send_join(self, now):
+    """Never send a join request."""
     self.next_join_at = float("inf")
 
 
