--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -196,23 +196,26 @@
 
 def _outage_figures(history: History) -> dict:
     """Return the figures of the phases between marks, for the marks that the script reached."""
-    rest_at, rest_end = history.mark_time("rest"), history.mark_time("rest_end")
-    slow_at, slow_end = history.mark_time("slow"), history.mark_time("slow_end")
-    break_at, break_end = history.mark_time("break"), history.mark_time("break_end")
+    rest_at = history.mark_time("rest")
+    rest_end = history.mark_time("rest_end")
+    slow_at = history.mark_time("slow")
+    slow_end = history.mark_time("slow_end")
+    break_at = history.mark_time("break")
+    break_end = history.mark_time("break_end")
     read_times = [event["at"] for event in history.select("read")]
-    outage = {}
+    measured = {}
     if rest_at is not None and rest_end is not None:
-        steady = sum(rest_at <= at < rest_end for at in read_times) / (rest_end - rest_at)
-        outage["list_reads_s_steady"] = round(steady, 1)
-        outage["unconfirmed_at_rest"] = count_unconfirmed_lists(history, rest_at, rest_end)
+        steady_rate = sum(rest_at <= at < rest_end for at in read_times) / (rest_end - rest_at)
+        measured["list_reads_s_steady"] = round(steady_rate, 1)
+        measured["unconfirmed_at_rest"] = count_unconfirmed_lists(history, rest_at, rest_end)
     if slow_at is not None and slow_end is not None:
-        outage["sessions_left"] = count_left_sessions(history, slow_at, slow_end)
+        measured["sessions_left"] = count_left_sessions(history, slow_at, slow_end)
     if break_at is not None and break_end is not None:
         counted_until = break_end + SESSIONS_AFTER_BREAK_SECONDS
         sessions = history.select("session", since=break_end, until=counted_until)
-        outage["reads_after_break"] = sum(break_end <= at < break_end + 1 for at in read_times)
-        outage["sessions_after_break"] = sum(1 for _ in sessions)
-    return outage
+        measured["reads_after_break"] = sum(break_end <= at < break_end + 1 for at in read_times)
+        measured["sessions_after_break"] = sum(1 for _ in sessions)
+    return measured
 
 
 def broken(run_figures: dict, nodes: int, limits: dict[str, float]) -> list[str]:
--- a/applevale/checkers/membership.py
+++ b/applevale/checkers/membership.py
@@ -161,7 +161,10 @@
 
 
 def rejoin_times(history: History, truth: GroundTruth) -> list[float]:
-    """Return the seconds from when a member could be reached again until an observer saw it alive again."""
+    """Return the times until observers saw a member that they had reported dead or left alive again.
+
+    They count, in seconds, from the return of the member or, if that is later, from the report of its death.
+    """
     returned_at: dict[str, list[float]] = defaultdict(list)
     for member_return in truth.returns():
         returned_at[member_return.name].append(member_return.at)
--- a/applevale/fakes/faulty_proxy.py
+++ b/applevale/fakes/faulty_proxy.py
@@ -95,7 +95,7 @@
 
 
 class FaultyProxy(RelayProxy):
-    """A proxy on loopback whose mode applies to new and open connections alike.
+    """A proxy on loopback whose mode can change while connections are open.
 
     Attributes:
         mode: The current mode; `set_mode` changes it.
--- a/applevale/fault_injection/link_conditions.py
+++ b/applevale/fault_injection/link_conditions.py
@@ -71,7 +71,8 @@
 
     def draw(self) -> float:
         """Return a random number, at least 0 and less than 1."""
-        self.random_state = mixed = (self.random_state + 0x9E3779B97F4A7C15) & _MASK_64
+        self.random_state = (self.random_state + 0x9E3779B97F4A7C15) & _MASK_64
+        mixed = self.random_state
         mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & _MASK_64
         mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EB & _MASK_64
         return ((mixed ^ mixed >> 31) >> 11) / (1 << 53)
@@ -81,7 +82,7 @@
 class _Rule:
     """A condition applied to all pairs from two groups, each given as shell-style name patterns."""
 
-    number: int
+    rule_number: int
     sources: tuple[str, ...]
     targets: tuple[str, ...]
     condition: LinkCondition
@@ -108,9 +109,9 @@
         self.condition_cache.clear()
         return self.rule_count
 
-    def remove(self, number: int) -> None:
-        """Remove the condition for which `apply` returned `number`."""
-        self.rules = [rule for rule in self.rules if rule.number != number]
+    def remove(self, rule_number: int) -> None:
+        """Remove the condition for which `apply` returned `rule_number`."""
+        self.rules = [rule for rule in self.rules if rule.rule_number != rule_number]
         self.condition_cache.clear()
 
     def between(self, source: str, target: str) -> LinkCondition:
@@ -118,7 +119,8 @@
         condition = self.condition_cache.get((source, target))
         if condition is None:
             covering = (rule.condition for rule in reversed(self.rules) if rule.covers(source, target))
-            condition = self.condition_cache[source, target] = next(covering, CLEAR)
+            condition = next(covering, CLEAR)
+            self.condition_cache[source, target] = condition
         return condition
 
     def stream_delay(self, now: float, source: str, target: str, size: int) -> float:
@@ -154,7 +156,8 @@
         state = self.pair_states.get((source, target))
         if state is None:
             digest = blake2b(f"{self.seed} {source} {target}".encode(), digest_size=8).digest()
-            state = self.pair_states[source, target] = _PairState(int.from_bytes(digest, "big"))
+            state = _PairState(int.from_bytes(digest, "big"))
+            self.pair_states[source, target] = state
         return state
 
 
--- a/applevale/fault_injection/tcp_relay.py
+++ b/applevale/fault_injection/tcp_relay.py
@@ -161,10 +161,14 @@
             transport.abort()
             return
         self.relay.connections[self] = None
-        self.requests = self.caller.incoming = self.server.outgoing = behavior.create_request_stream(self)
-        self.answers = self.server.incoming = self.caller.outgoing = behavior.create_answer_stream(self)
+        self.requests = behavior.create_request_stream(self)
         self.requests.reader = transport
+        self.caller.incoming = self.requests
+        self.server.outgoing = self.requests
+        self.answers = behavior.create_answer_stream(self)
         self.answers.writer = transport
+        self.server.incoming = self.answers
+        self.caller.outgoing = self.answers
         self.connect_task = self.relay.loop.create_task(self._connect())
 
     async def _connect(self) -> None:
--- a/applevale/fault_injection/udp_proxy.py
+++ b/applevale/fault_injection/udp_proxy.py
@@ -64,7 +64,8 @@
         self.broadcast_socket = self._open_socket()
         self.loop.add_reader(self.broadcast_socket, self._on_readable, None, self.broadcast_socket)
         for name in names:
-            sock = self.sockets[name] = self._open_socket()
+            sock = self._open_socket()
+            self.sockets[name] = sock
             self.addresses[name] = sock.getsockname()
             self.loop.add_reader(sock, self._on_readable, name, sock)
 
