--- a/applevale/policy/admission.py
+++ b/applevale/policy/admission.py
@@ -8,24 +8,26 @@
 from .model import Context, Engine, PendingRequest
 
 
-def memory_risk_price(probability: float, miss_count: int) -> float:
-    """Return the price of a memory risk: it rises with the uncertainty and falls with recent misses."""
-    price = 1 + estimators.binary_entropy(probability) - config.MISS_DISCOUNT * miss_count
-    return max(price, config.MIN_MEMORY_RISK_PRICE)
+def memory_risk_cost(probability: float, miss_count: int) -> float:
+    """Return the cost of a memory risk: it rises with the uncertainty and falls with recent misses."""
+    cost = 1 + estimators.binary_entropy(probability) - config.MISS_DISCOUNT * miss_count
+    return max(cost, config.MIN_MEMORY_RISK_COST)
 
 
 class Admission:
     """Recognizes memory risks and enforces the quotas of tenants.
 
     A memory risk is a request that may exhaust the memory of its engine. It waits for free memory if the
-    engine's quota can pay its price, and is treated like any other request otherwise.
+    engine's quota covers its cost, and is treated like any other request otherwise.
     """
 
     def __init__(self, context: Context, load: LoadEstimator):
         """Create it with an untrained model and empty quotas."""
         self._context = context
         self._load = load
-        model = estimators.LogisticModel(config.MODEL_WEIGHTS, config.LEARNING_RATE, config.MAX_MODEL_WEIGHT)
+        model = estimators.LogisticModel(
+            config.INITIAL_MODEL_WEIGHTS, config.LEARNING_RATE, config.MAX_MODEL_WEIGHT
+        )
         misses = containers.ExpiringKeys(config.MAX_REMEMBERED_MISSES)
         self.predictor = estimators.RememberingClassifier(model, misses, config.MISS_LIFETIME_SECONDS)
         self._tenant_buckets = [rate_limits.TokenBucket(0.0, -inf) for _ in context.settings.tenants]
@@ -56,8 +58,8 @@
         probability = self.predictor.predict(now, self.similarity_key(pending), pending.features)
         pending.is_memory_risk = probability >= config.MEMORY_RISK_THRESHOLD
         engine.memory_risk_quota.refill(now)
-        price = memory_risk_price(probability, engine.memory_risk_quota.missed)
-        pending.waits_for_memory = pending.is_memory_risk and engine.memory_risk_quota.spend(price)
+        cost = memory_risk_cost(probability, engine.memory_risk_quota.missed)
+        pending.waits_for_memory = pending.is_memory_risk and engine.memory_risk_quota.spend(cost)
 
     def learn(self, pending: PendingRequest, engine: Engine, met_pressure: bool) -> None:
         """Learn from a completed request whether it met memory pressure on its engine."""
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -199,7 +199,7 @@
         running_for = self._context.now - pending.attempts[-1].running_since if pending.in_flight else None
         run_time = pending.expected_run_time()
         duration = run_time + self._delivery_time
-        needed_time = config.ORDER_KEY_RUN_TIMES * run_time
+        needed_time = config.TURN_TIME_FACTOR * run_time
         return containers.TurnForecast(duration, needed_time, pending.deadline, running_for)
 
     def overdue_after(self, attempt: Attempt) -> float:
--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -1,65 +1,72 @@
-"""The constants of all decisions.
+"""The constants of the decision module: admission, scheduling, attempts, probes and ejections.
 
-Loads are in threads per core. A constant that ends in SECONDS is a duration, one that ends in MB an amount of
-memory; shares, factors and weights have no unit.
+Loads are in threads per core. A constant that ends in SECONDS is a duration. Shares, factors and weights have
+no unit.
 """
 
-# Prediction of memory pressure, and the price of a memory risk on the quota of its engine.
-MEMORY_PRESSURE_WINDOW_SECONDS = 3.0  # a few of the longest queries: quota refill, age of the last pressure
+# Prediction of memory pressure, and the cost of a memory risk, which is deducted from its engine's quota.
+# The window is as long as a few of the longest queries. Requests are checked for memory risks until this long
+# after the last pressure, and quotas are refilled once per window.
+MEMORY_PRESSURE_WINDOW_SECONDS = 3.0
 MEMORY_RISK_THRESHOLD = 0.5  # least probability of pressure at which a request is a memory risk
 SMALL_MEMORY_SHARE = 0.06  # share of an engine's memory; smaller requests are never a memory risk
 SPILL_PRESSURE_SLOWDOWN = 1.5  # slowdown, relative to the usual one, that shows pressure after a spill
 MEMORY_PRESSURE_SLOWDOWN = 3.0  # slowdown, relative to the usual one, that shows pressure without a spill
-FEATURE_SCALE = 2  # factor of the request's share of memory, divisor of the engine's load
-MODEL_WEIGHTS = (-2.0, 2.0, 1.0, 1.0, 1.0)  # initial: bias, request's memory, used memory, load, class
+FEATURE_SCALE = 2  # features: memory share of the request times this, relative load divided by this
+INITIAL_MODEL_WEIGHTS = (-2.0, 2.0, 1.0, 1.0, 1.0)  # bias, request's memory, used memory, load, class
 LEARNING_RATE = 0.1
 MAX_MODEL_WEIGHT = 8.0
-MISS_LIFETIME_SECONDS = 60.0  # time for which requests similar to an unpredicted case are risks
+MISS_LIFETIME_SECONDS = 60.0  # after unpredicted pressure, similar requests are memory risks for this long
 MAX_REMEMBERED_MISSES = 400
-MEMORY_LOG_BASE = 2  # similar requests have memory of the same magnitude to this base
-MISS_DISCOUNT = 0.1  # discount for each unpredicted case on the engine in the present window
-MIN_MEMORY_RISK_PRICE = 0.2
+MEMORY_LOG_BASE = 2  # similar requests have the same integer part of the logarithm of their memory
+MISS_DISCOUNT = 0.1  # reduction of the cost for each unpredicted pressure on the engine in this window
+MIN_MEMORY_RISK_COST = 0.2
 
 # Estimates of work, memory and run time.
-MAX_RATIO = 20.0  # bound of learned ratios
+MAX_LEARNED_RATIO = 20.0  # bound of the ratios of needed to announced quantities, and of slowdowns
 SLOWDOWN_PRIOR = 1.5  # slowdown in a class without completed runs
 SCATTER_PRIOR = 0.3  # mean deviation of the logarithm of run times in a class without completed runs
 MAX_EXPECTED_SLOWDOWN = 5.0
-SCATTER_DEVIATIONS = 1.5  # mean deviations of a run time that are ascribed to chance
+SCATTER_DEVIATIONS = 1.5  # mean deviations by which a run time may exceed the expected one by chance
 MIN_WORK_SECONDS = 1e-4
 MIN_MEAN_WORK_SECONDS = 0.001
-TARGET_RUN_TIMES = 3  # initial ratio of a class's target latency to its mean run time
-ANNOUNCED_MEMORY_MARGIN = 1.25  # factor to announced memory where engines choose the memory themselves
+TARGET_TO_RUN_TIME_RATIO = 3  # target latency to mean run time, in a class without completed runs
+ANNOUNCED_MEMORY_MARGIN = 1.25  # factor to announced memory, if engines decide how much they grant
 EXPECTED_MEMORY_MARGIN = 1.5  # factor to expected memory
 MIN_CORES = 0.1  # least number of cores of an engine whose kind states none
 
-# Load reports, the loads estimated from them, and limits on the loads of warm and of cold engines.
-REPORT_DECAY_SECONDS = 3.0  # a few of the longest queries
+# Load reports, the loads estimated from them, and limits on the loads of engines.
+REPORT_DECAY_SECONDS = 3.0  # time constant of reported loads; as long as a few of the longest queries
 REPORT_DECAY_MANY_PEERS_SECONDS = 0.8  # the same where many peers forward reports
 PEER_SEND_DECAY_SECONDS = 0.6  # time until load reports include what peers have sent
 OWN_LOAD_DECAY_SECONDS = 10.0
-REPORT_FRESH_SECONDS = 0.4
+REPORT_FRESH_SECONDS = 0.4  # an engine whose last report is not older needs no probe
 FLEET_LOAD_PRIOR_WEIGHT = 0.5
-ENGINE_PRIOR_WEIGHT = 0.3
+ENGINE_PRIOR_WEIGHT = 0.3  # relative to one report
 MAX_ASSUMED_PEER_LOAD = 1.0  # bound of the load that is assumed of peers without reports
 REPORT_WEIGHT_EXPONENT = 0.5  # the weight of a report in the fleet's mean is 1 / engines ** exponent
 THREADS_PER_QUERY_PRIOR = 1.5
 THREADS_PER_QUERY_PRIOR_WEIGHT = 1.0
 BUSY_SHARE = 0.85  # share of busy cores or disks that counts as full
-SATURATED_LOAD = 10.0  # load added per share above BUSY_SHARE, where a share cannot show the queue
+SATURATED_LOAD = 10.0  # load added per unit of busy share above BUSY_SHARE, since a share shows no queue
 OVERFULL_LOAD = 4.5  # load up to which short requests pass every limit; assumed of engines that reject
-THREAD_LIMIT = 1.5  # load above which total throughput falls; all cores or disks show busy from here
-PRIORITY_LOAD_FACTORS = (0.7, 0.85, 1.0, 1.6)  # factors to THREAD_LIMIT by priority, in a full fleet
+THREAD_LIMIT = 1.5  # load at which all cores or disks are busy, and above which total throughput falls
+PRIORITY_LOAD_FACTORS = (0.7, 0.85, 1.0, 1.6)  # factors to THREAD_LIMIT by priority, if the fleet is full
 PRIORITY_DENSITIES = (0.2, 0.65, 2.0)  # least value per work, relative to the mean, of priorities 1 to 3
 TOP_PRIORITY = 3
-MIN_TABLE_LOAD_PRIORITY = 2  # other requests wait for the tables that a table load holds
+MIN_TABLE_LOAD_PRIORITY = 2  # on engines; a slow table load delays all requests that need its tables
 LIMIT_TOLERANCE = 1.01  # an engine that is idle but for rounding errors may take any request
-PRESSURE_SLOPE = 3  # slope and offset: low priorities' limits fall between 1/2 and 5/6 of THREAD_LIMIT
-PRESSURE_OFFSET = 1.5
+
+# The limits of low priorities fall while the fleet's load rises from 1/2 to 5/6 of THREAD_LIMIT: they are
+# weighted with LIMIT_RAMP_SLOPE * load / THREAD_LIMIT - LIMIT_RAMP_OFFSET, bounded to the range 0 to 1.
+LIMIT_RAMP_SLOPE = 3
+LIMIT_RAMP_OFFSET = 1.5
+
+# Work that is sent to cold engines.
 WARM_UP_MARGIN = 1.05  # factor to the announced warm-up time
-COLD_CAPACITY_FACTOR = 0.34  # correction of the announced multiple of the capacity, which is too high
+COLD_CAPACITY_FACTOR = 0.34  # factor to the setting `fall_multiple`, which is too high
 COLD_REQUEST_SHARE = 0.4  # share of a cold engine's budget for one window that one request may take
-COLD_BURST_DIVISOR = 4  # unused budget is kept up to that of one window divided by this
+COLD_BURST_DIVISOR = 4  # the most unused budget that is kept is that of one window divided by this
 
 # Selection of engines, and the wait queue.
 AFFINITY_ENGINES = 3  # preferred engines of a table group, over which the instances are spread
@@ -67,19 +74,19 @@
 MAX_EXAMINED_ENGINES = 6  # engines examined for one request in one pass
 MAX_CACHED_ENGINE_ORDERS = 400
 MAX_EXACT_CANDIDATES = 2  # with more candidates, instances with many peers choose by a random draw
-CANDIDATE_CLASS_SIZE = 3  # first fields of a candidate, in which equally good ones agree
+CANDIDATE_RANK_FIELDS = 3  # a random draw takes only candidates with the best values of these first fields
 INSTANCE_HASH_BITS = 48
-TABLE_GROUP_SCALE = 16  # table groups are told apart in steps of 1 / 16
+TABLE_GROUP_SCALE = 16  # table groups whose numbers round down to the same 1 / 16 share an engine order
 MAX_WAITING_REQUESTS = 400
 MAX_ROUTED_REQUESTS = 24  # waiting requests for which an engine is sought in one pass
 MAX_QUEUE_SLOWDOWN = 1.5  # bound of the slowdown that is assumed of waiting requests
 
 # Probes and ejection of engines.
 PROBES_PER_REQUEST = 1.3  # bound of the probes that each request adds to the budget
-MAX_PROBE_BUDGET = 4.0  # probes
+MAX_PROBE_BUDGET = 4.0  # number of probes
 PROBE_COST_SHARE = 0.0143  # largest share of a request's value that its probes may cost
 PROBE_COST_SHARE_NO_REPORTS = 0.035  # the same where only probes report load
-MIN_PROBE_PRICE = 1e-9  # avoids a division by zero
+MIN_PROBE_COST = 1e-9  # avoids a division by zero
 PROBE_WAIT_SECONDS = 0.06  # a probe that takes longer is a failure of its engine
 PROBE_LOST_SECONDS = 1.0  # a probe that takes longer may be sent again
 MAX_CONSECUTIVE_RESETS = 3  # number of resets in a row that ejects an engine
@@ -89,17 +96,17 @@
 
 # Attempts and final answers.
 MAX_ENGINE_ERRORS = 2  # number of engines whose errors end a request
-OVERDUE_FACTOR = 3.0  # expected run times, corrected for scatter, after which an attempt is overdue
+OVERDUE_FACTOR = 3.0  # an attempt is overdue after this multiple of its expected, scatter-corrected run time
 OVERDUE_GROWTH = 2  # factor to that time for each earlier attempt of the request
-MIN_OVERDUE_TARGET_SHARE = 0.6  # least share of the shortest target latency: leaves time for a retry
+MIN_OVERDUE_TARGET_SHARE = 0.6  # least such time, as a share of the shortest target latency, to allow a retry
 ATTEMPT_TIMEOUT_FACTOR = 2  # multiple of the overdue time, where attempts cannot be cancelled
-MIN_PROGRESS = 0.001  # share done that is too small to extrapolate the run time
-ORDER_KEY_RUN_TIMES = 4.0  # run times that must be left at the turn of an order key: run times scatter
+MIN_PROGRESS = 0.001  # least share done from which the run time is extrapolated
+TURN_TIME_FACTOR = 4.0  # multiple of the run time that a turn should leave, since run times scatter
 MIN_RETRY_AFTER_SECONDS = 0.3
 MAX_RETRY_AFTER_SECONDS = 1.5
 FINAL_ANSWER_MARGIN_SECONDS = 0.06  # time from the final answer to the client's timeout
 MAX_STALL_MARGIN_SHARE = 0.3  # share of a request's timeout that recent stalls may add to that margin
-TENANT_BURST_REQUESTS = 1.5  # requests beyond a tenant's quota for one second
+TENANT_BURST_REQUESTS = 1.5  # added to a tenant's quota for one second
 
 # Timers and stalls of this instance, and the subscription to the engine list.
 SWEEP_INTERVAL_SECONDS = 0.05
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -126,7 +126,7 @@
         if request.is_order_unknown:  # its execution could break the order of its key
             self.attempts.reject_or_fail(pending)
             return
-        self.admission.assess_memory_risk(pending, self.scheduler.preferred_engines(pending))
+        self.admission.assess_memory_risk(pending, self.scheduler.engines_by_preference(pending))
         self.scheduler.enqueue(pending)
 
     def _on_outcome(self, event: api.AttemptOutcome) -> None:
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -26,8 +26,8 @@
 
     def update_thread_limits(self) -> None:
         """Set the limits by priority, which differ only as the fleet fills up."""
-        relative_load = config.PRESSURE_SLOPE * sum(self.fleet_load()) / config.THREAD_LIMIT
-        pressure = min(max(relative_load - config.PRESSURE_OFFSET, 0.0), 1.0)
+        relative_load = config.LIMIT_RAMP_SLOPE * sum(self.fleet_load()) / config.THREAD_LIMIT
+        pressure = min(max(relative_load - config.LIMIT_RAMP_OFFSET, 0.0), 1.0)
         pressures = (pressure, pressure, pressure, 1.0)  # by priority; the top one has its limit at all times
         limits = zip(config.PRIORITY_LOAD_FACTORS, pressures)
         self.thread_limits = [config.THREAD_LIMIT * (1 + (factor - 1) * weight) for factor, weight in limits]
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -96,12 +96,17 @@
     def __init__(self, spec: api.ClassSpec):
         """Create the statistics of a class without completed requests."""
         self.spec = spec
-        mean_work = max(spec.aim / config.TARGET_RUN_TIMES * spec.threads, config.MIN_MEAN_WORK_SECONDS)
-        self.work = estimators.EstimateCorrection(mean_work, config.MAX_RATIO)
-        self.memory = estimators.EstimateCorrection(0.0, config.MAX_RATIO)
+        mean_work = max(
+            spec.aim / config.TARGET_TO_RUN_TIME_RATIO * spec.threads, config.MIN_MEAN_WORK_SECONDS
+        )
+        self.work = estimators.EstimateCorrection(mean_work, config.MAX_LEARNED_RATIO)
+        self.memory = estimators.EstimateCorrection(0.0, config.MAX_LEARNED_RATIO)
         self.memory_pressure_share = estimators.RunningMean(0.0)  # share of requests that met pressure
         self.run_time = estimators.RunTimeEstimate(
-            config.SLOWDOWN_PRIOR, config.SCATTER_PRIOR, config.MAX_RATIO, config.MAX_EXPECTED_SLOWDOWN
+            config.SLOWDOWN_PRIOR,
+            config.SCATTER_PRIOR,
+            config.MAX_LEARNED_RATIO,
+            config.MAX_EXPECTED_SLOWDOWN,
         )
 
     def learn(self, attempt: Attempt, event: api.AttemptOutcome, run_time: float) -> bool:
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -14,7 +14,7 @@
         settings = context.settings
         self._only_probes_report = settings.gateways > 1 and settings.load_report_mode == "probe"
         max_cost = config.PROBE_COST_SHARE_NO_REPORTS if self._only_probes_report else config.PROBE_COST_SHARE
-        affordable_probes = max_cost / max(settings.probe_price, config.MIN_PROBE_PRICE)
+        affordable_probes = max_cost / max(settings.probe_price, config.MIN_PROBE_COST)
         self._probes_per_request = min(config.PROBES_PER_REQUEST, affordable_probes)
         self._probe_budget = config.MAX_PROBE_BUDGET
         self.probes_before_send = settings.gateways > 1 and self._probes_per_request >= 1
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -16,7 +16,7 @@
     """The engine that a request is sent to, if there is one now."""
 
     engine: Engine | None = None
-    may_open: bool = False  # without an engine: whether one may be found soon, such as by a probe in flight
+    engine_expected: bool = False  # whether one may be found soon, such as by a probe in flight
 
 
 class Candidate(NamedTuple):
@@ -24,7 +24,7 @@
 
     is_last_resort: bool  # the request was tried there, or the engine is on probation
     zone_tier: int
-    is_remote: bool  # not one of the preferred engines, or loaded beyond the limit
+    is_second_choice: bool  # not among the first AFFINITY_ENGINES, or loaded beyond the limit
     engine_load: float
     engine_id: int
 
@@ -43,7 +43,7 @@
         self.waiting: list[PendingRequest] = []
         self.engine_orders = containers.BoundedCache(config.MAX_CACHED_ENGINE_ORDERS)  # by group and class
 
-    def preferred_engines(self, pending: PendingRequest) -> list[Engine]:
+    def engines_by_preference(self, pending: PendingRequest) -> list[Engine]:
         """Return the engines that a request may run on, in its order of preference."""
         table_group = int(pending.request.table_group * config.TABLE_GROUP_SCALE)
         key = (table_group, pending.request.class_index)
@@ -79,14 +79,14 @@
         is_short = pending.priority >= config.TOP_PRIORITY and not pending.waits_for_memory
         limit = self._load.thread_limits[pending.priority]
         first_choice_limit = min(limit, config.THREAD_LIMIT if is_short else config.AFFINITY_LOAD)
-        available = filter(Engine.is_available, self.preferred_engines(pending))
+        available = filter(Engine.is_available, self.engines_by_preference(pending))
         usable = (engine for engine in available if self._attempts.can_run_on(pending, engine))
         candidates: list[Candidate] = []
         for position, engine in enumerate(islice(usable, config.MAX_EXAMINED_ENGINES)):
             if self._outliers.needs_probe(engine, pending):
                 if self._outliers.probe(engine):
-                    return Route(may_open=True)
-                self._outliers.eject(engine, "silent to a probe")
+                    return Route(engine_expected=True)
+                self._outliers.eject(engine, "no reply to a probe")
                 continue
             if self._is_blocked(pending, engine):
                 continue
@@ -102,8 +102,10 @@
             fits = new_load <= max(limit, idle_limit)
             if fits or (is_short and load < config.OVERFULL_LOAD):
                 tier = self._context.zone_router.zone_tier(pending.request.class_index, engine.entry.zone)
-                is_remote = position >= config.AFFINITY_ENGINES or not fits
-                candidates.append(Candidate(is_last_resort, tier, is_remote, load, engine.entry.engine_id))
+                is_second_choice = position >= config.AFFINITY_ENGINES or not fits
+                candidates.append(
+                    Candidate(is_last_resort, tier, is_second_choice, load, engine.entry.engine_id)
+                )
         return self._select(candidates)
 
     def _is_blocked(self, pending: PendingRequest, engine: Engine) -> bool:
@@ -119,7 +121,7 @@
             return Route()
         has_many_peers = self._context.settings.gateways > config.AFFINITY_ENGINES
         if has_many_peers and len(candidates) > config.MAX_EXACT_CANDIDATES:
-            best = selection.better_of_two(self._context.random, candidates, config.CANDIDATE_CLASS_SIZE)
+            best = selection.better_of_two(self._context.random, candidates, config.CANDIDATE_RANK_FIELDS)
         else:
             best = min(candidates)
         return Route(self._context.engines[best.engine_id])
@@ -132,7 +134,11 @@
             self.waiting.append(pending)
 
     def serve_queue(self, stall: float) -> None:
-        """Send waiting requests and answer those that wait in vain, after a recent stall (s)."""
+        """Send waiting requests, and reject or fail those that can no longer be completed in time.
+
+        Args:
+            stall: Duration (s) of a recent stall of this instance, which makes final answers due earlier.
+        """
         self.waiting.sort(key=lambda pending: pending.queue_key)
         now = self._context.now
         router = self._context.zone_router
@@ -140,11 +146,12 @@
         work_rate = router.available_rate(now, own_cores) * config.BUSY_SHARE
         slowdowns = [stats.run_time.slowdown.value for stats in self._context.classes]
         slowdowns = [min(max(slowdown, 1.0), config.MAX_QUEUE_SLOWDOWN) for slowdown in slowdowns]
-        smallest_unroutable: dict[tuple[int, float, int], float] = {}  # work, of similar requests
+        # The least work that found no engine, by class, table group and priority.
+        smallest_unroutable: dict[tuple[int, float, int], float] = {}
         kept: list[PendingRequest] = []
         work_ahead = 0.0
         routed_count = 0
-        not_tried = Route(may_open=True)
+        not_tried = Route(engine_expected=True)
         for pending in self.waiting:
             if pending.is_finished:
                 continue
@@ -161,10 +168,10 @@
                 continue
             is_exempt = pending.priority >= config.TOP_PRIORITY or pending.waits_for_memory
             misses_target = not is_exempt and work_ahead > max(0.0, time_left) * work_rate
-            is_hopeless = misses_target and not route.may_open
-            # The router is also asked for a late request: it notices by the call that time has passed.
+            is_hopeless = misses_target and not route.engine_expected
+            # Also called for late requests, because the call updates the zone's recovery to the present time.
             is_rejected = is_hopeless or router.is_saturated(now, pending.request.class_index, pending.work)
-            if is_rejected or is_late or (time_left < 0 and not route.may_open):
+            if is_rejected or is_late or (time_left < 0 and not route.engine_expected):
                 self._attempts.reject_or_fail(pending)
             else:
                 kept.append(pending)
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -8,15 +8,15 @@
 
 from applevale import api
 from applevale.estimators import DecayingMean, EstimateCorrection
-from applevale.policy.admission import memory_risk_price
-from applevale.policy.config import MAX_RATIO
+from applevale.policy.admission import memory_risk_cost
+from applevale.policy.config import MAX_LEARNED_RATIO
 
 
 def test_the_price_of_a_memory_risk_rises_with_uncertainty_and_falls_with_misses():
-    assert memory_risk_price(1.0, 0) == pytest.approx(1.0)
-    assert memory_risk_price(0.5, 0) == pytest.approx(2.0)
-    assert memory_risk_price(0.5, 5) < memory_risk_price(0.5, 0)
-    assert memory_risk_price(1.0, 100) == pytest.approx(0.2)
+    assert memory_risk_cost(1.0, 0) == pytest.approx(1.0)
+    assert memory_risk_cost(0.5, 0) == pytest.approx(2.0)
+    assert memory_risk_cost(0.5, 5) < memory_risk_cost(0.5, 0)
+    assert memory_risk_cost(1.0, 100) == pytest.approx(0.2)
 
 
 def test_after_a_miss_similar_requests_are_memory_risks_for_a_while():
@@ -103,7 +103,7 @@
 
 def test_scattered_and_biased_estimates_are_corrected():
     random = Random(5)
-    correction = EstimateCorrection(1.0, MAX_RATIO)
+    correction = EstimateCorrection(1.0, MAX_LEARNED_RATIO)
     errors_of_mean_factor = []
     errors_of_correction = []
     for number in range(400):
@@ -114,7 +114,7 @@
             errors_of_correction.append(abs(log(correction.expect(estimate) / needed)))
         correction.learn(estimate, needed)
     assert sum(errors_of_correction) < 0.6 * sum(errors_of_mean_factor)
-    new_correction = EstimateCorrection(1.0, MAX_RATIO)
+    new_correction = EstimateCorrection(1.0, MAX_LEARNED_RATIO)
     assert new_correction.expect(2.0) == pytest.approx(2.0, rel=0.5)  # nothing learned: the estimate itself
 
 
--- a/tests/test_policy_routing.py
+++ b/tests/test_policy_routing.py
@@ -51,7 +51,7 @@
     driver = PolicyDriver(engines=3, gateways=100)
     request_id, _ = driver.submit(table_group=2.0)
     request = driver.pending_request(request_id)
-    preferred = driver.controller.scheduler.preferred_engines(request)[0].entry.engine_id
+    preferred = driver.controller.scheduler.engines_by_preference(request)[0].entry.engine_id
     for engine in (1, 2, 3):
         driver.report_load(engine, cpu=0.85 if engine == preferred else 0.3)
     assert driver.send_request(table_group=2.0).engine_id != preferred
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -85,11 +85,11 @@
     assert max(map(len, LINES)) <= 110
 
 
-def test_the_top_names_the_package_of_its_types():
+def test_the_docstring_of_the_policy_names_the_package_of_its_types():
     package = next(file for file in FILES if file.name == "__init__.py")
     assert "applevale/api" in package.read_text().splitlines()[0]
 
 
-def test_no_file_of_it_lies_elsewhere():
+def test_all_files_of_the_policy_are_directly_in_its_package():
     assert not (PACKAGE.parent / "policy.py").exists()
     assert all(file.parent == PACKAGE for file in FILES)
