--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -39,7 +39,7 @@
     engine_id: int
     zone: int = 0
     kind: int = 0
-    cell: int = 0
+    cell: int = 0  # number of its cell, a group of engines; see `ClassSpec.repeat_group`
     size: float = 1.0  # number of cores, if the settings state none for its kind
     state: EngineState = EngineState.READY
     started_at: float = 0.0  # Unix time of its last start; 0 means long ago
@@ -65,9 +65,11 @@
     timeout: float = 0.0  # time until the client gives up
     estimated_work: float = 0.0  # time on one core; 0 means no estimate
     estimated_memory_mb: float = 0.0  # 0 means no estimate
-    table_group: float = 0.0  # number of the table group that the request uses
+    table_group: float = 0.0  # number in the schema names of the tables that the request uses; 0 means none
     is_client_retry: bool = False  # whether the client says that it sends the request again
-    is_order_unknown: bool = False  # whether it may have arrived before an earlier event of its order key
+    is_order_unknown: bool = (
+        False  # whether it may have arrived before events of its order key passed on earlier
+    )
 
 
 @dataclass(frozen=True)
@@ -79,7 +81,7 @@
 
     request_id: int
     order_key: int
-    delivery_seconds: float  # time from now until the client has the answer in any case
+    delivery_seconds: float  # time from now after which the client has certainly received the answer
 
 
 @dataclass(frozen=True)
