--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -1,4 +1,4 @@
-"""Reporting of the list's freshness and of the staleness guarantee, in the log and in counters."""
+"""Reports in the log and in counters whether the engine list of a registry is fresh."""
 
 from __future__ import annotations
 
@@ -59,6 +59,7 @@
     def _report_guarantee(self, on_stale: str) -> None:
         """Log that the staleness bound cannot be kept, and why, or that it is kept again."""
         watcher = self.watcher
+        throttled_requests = watcher.stats.declined
         previous_state = self.reported_state
         self.reported_state = watcher.pacer.guard.state
         bound = watcher.config.max_staleness
@@ -71,7 +72,7 @@
                 f"the staleness bound of {bound:g} s cannot be kept: "
                 f"it needs {poll_rate:.1f} reads a second, each with a response within {budget_ms:.0f} ms; "
                 f"the mean latency is {latency_ms:.0f} ms, "
-                f"and {watcher.stats.declined} requests were throttled so far; "
+                f"and {throttled_requests} requests were throttled so far; "
                 f"on_stale={on_stale!r} applies until it can be kept",
             )
         elif self.reported_state is GuardState.ACTIVE:
@@ -81,7 +82,10 @@
         stale_seconds = now - self.stale_since
         revision = self.watcher.revision
         self.counters["registry_stale_ms"] += int(stale_seconds * 1000)
-        log_event("registry", f"confirmed at revision {revision}, after {stale_seconds:.3f} s")
+        log_event(
+            "registry",
+            f"the list is confirmed at revision {revision}, after {stale_seconds:.3f} s without confirmation",
+        )
         emit_event("list", confirmed=True, revision=revision, stale=round(stale_seconds, 3))
 
     def _report_stale(self, now: float, on_stale: str) -> None:
--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -55,7 +55,7 @@
         )
 
     @property
-    def is_service_fast(self) -> bool:
+    def are_responses_fast(self) -> bool:
         """Whether all recent responses were fast enough for the guarantee."""
         return self.consecutive_fast >= MIN_CONSECUTIVE_FAST_RESPONSES
 
@@ -157,7 +157,7 @@
         config = self.config
         if self.is_degraded:
             return config.degraded_standby_delay_share * config.max_staleness
-        if self.is_service_fast and silence < config.max_staleness:
+        if self.are_responses_fast and silence < config.max_staleness:
             shortest = config.min_standby_delay_share
             longest = config.max_standby_delay_share
             randomized = (shortest + random_value * (longest - shortest)) * config.max_staleness
--- a/applevale/discovery/registry/session_state.py
+++ b/applevale/discovery/registry/session_state.py
@@ -90,9 +90,13 @@
     def take_delayed_command(self) -> Command | None:
         """Remove and return the delayed command."""
         command = self.delayed_command
+        self.cancel_delayed_command()
+        return command
+
+    def cancel_delayed_command(self) -> None:
+        """Remove the delayed command, if there is one."""
         self.delayed_command = None
         self.delayed_until = inf
-        return command
 
     def record_poll(self, now: float, random_value: float) -> None:
         """Record that a poll is being sent."""
--- a/applevale/discovery/registry/synchronizer.py
+++ b/applevale/discovery/registry/synchronizer.py
@@ -51,7 +51,9 @@
     def begin_session(
         self, now: float, session: SessionState, requested_at: float, revision: int, cluster_id: int
     ) -> list[Command]:
-        """Continue the list over a session that has completed its handshake, or read a snapshot.
+        """Start to watch in a session that has completed its handshake.
+
+        The watch continues from the list's revision if that is possible; otherwise a snapshot is read first.
 
         Args:
             now: Time of the response.
@@ -61,7 +63,7 @@
             cluster_id: Identity of the member's cluster; 0 if it is not known.
         """
         session.last_progress_at = now
-        session.take_delayed_command()
+        session.cancel_delayed_command()
         self._record_response(now - requested_at)
         self.pacer.guard.record_handshake(now - requested_at)
         self.watched_list.record_cluster(cluster_id)
@@ -133,9 +135,9 @@
         return commands
 
     def _record_response(self, duration: float) -> None:
-        """Record a response to a short read; a fast service makes earlier standby sessions irrelevant."""
+        """Record a response to a short read, and forget earlier standby sessions if all are fast now."""
         self.pacer.record_response(duration)
-        if self.pacer.is_service_fast:
+        if self.pacer.are_responses_fast:
             self.sessions.standby_limiter.reset()
 
     def _observe_revision(
