--- a/applevale/config/sections.py
+++ b/applevale/config/sections.py
@@ -52,7 +52,7 @@
         idle_timeout=read_number(limits, "conn_idle", DEFAULT_IDLE_TIMEOUT_NS, 1) / NANOSECONDS_PER_SECOND,
         connect_timeout=read_number(limits, "dial_timeout", DEFAULT_CONNECT_TIMEOUT_NS, 1)
         / NANOSECONDS_PER_SECOND,
-        handshake_price=read_number(prices, "handshake", 0.0, 0.0),
+        handshake_cost=read_number(prices, "handshake", 0.0, 0.0),
         probe_price=settings.probe_price,
         drain_grace=settings.drain_grace,
     )
--- a/applevale/engines/connection.py
+++ b/applevale/engines/connection.py
@@ -192,7 +192,7 @@
         except OSError as error:
             reason = type(error).__name__
         except (hiredis.HiredisError, ValueError) as error:
-            self.pool.record_corrupt_reply()
+            self.pool.record_corruption()
             reason = f"{type(error).__name__}: {str(error)[:80]}"
         finally:
             self.close(reason)
--- a/applevale/engines/limits.py
+++ b/applevale/engines/limits.py
@@ -13,7 +13,7 @@
         max_attempts: Maximum number of concurrent attempts on one connection.
         idle_timeout: Seconds after which an engine closes an idle connection.
         connect_timeout: Timeout of connecting, in seconds.
-        handshake_price: Points that one new connection per request costs (setting `prices.handshake`).
+        handshake_cost: Points that one new connection per request costs (setting `prices.handshake`).
         probe_price: Points that one probe per request costs (setting `prices.probe`).
         drain_grace: Seconds after the start of a drain in which commands may still reach the engine.
     """
@@ -21,6 +21,6 @@
     max_attempts: int
     idle_timeout: float
     connect_timeout: float
-    handshake_price: float = 0.0
+    handshake_cost: float = 0.0
     probe_price: float = 0.0
     drain_grace: float = 0.5
--- a/applevale/engines/liveness.py
+++ b/applevale/engines/liveness.py
@@ -16,7 +16,7 @@
     """Pings a busy connection that has been silent for too long, and closes it if no reply comes.
 
     After a corrupt or truncated reply, a connection may stay open without ever delivering another reply.
-    Closing it gives its attempts and probes their results.
+    Closing it ends its attempts and probes with a failure.
 
     Attributes:
         last_active_at: Time, by the event loop's clock, of the last complete reply, or of the moment at which
@@ -62,7 +62,7 @@
         if not connection.is_connected or now - due > MAX_TIMER_LATENESS_SECONDS:
             self._schedule(PING_TIMEOUT_SECONDS)
         elif self.ping_tag in connection.streams.probes:
-            connection.pool.record_corrupt_reply()
+            connection.pool.record_corruption()
             connection.close("no reply to a ping")
         elif now - self.last_active_at < interval:
             self._schedule(self.last_active_at + interval - now)
--- a/applevale/engines/pool.py
+++ b/applevale/engines/pool.py
@@ -81,7 +81,7 @@
         self._probe_tag_count += 1
         return b"p%d" % self._probe_tag_count
 
-    def record_corrupt_reply(self) -> None:
+    def record_corruption(self) -> None:
         """Record that an engine sent a corrupt reply, or no reply to a ping."""
         self.counters["links_spoilt"] += 1
         self._corrupted_at = asyncio.get_running_loop().time()
@@ -96,7 +96,7 @@
         It is if handshakes have a price, unless corruption is suspected: a corrupt reply ends all streams of
         its connection.
         """
-        return self.limits.handshake_price > 0 and not self.corruption_suspected()
+        return self.limits.handshake_cost > 0 and not self.corruption_suspected()
 
     def ping_interval(self) -> float:
         """Return the seconds of silence after which a busy connection is pinged.
--- a/tests/test_corrupt_replies.py
+++ b/tests/test_corrupt_replies.py
@@ -140,7 +140,7 @@
     async def main():
         pool = EnginePool(ConnectionLimits(32, 15.0, 0.25, probe_price=price), (), 8, Counters())
         usual_interval = pool.ping_interval()
-        pool.record_corrupt_reply()
+        pool.record_corruption()
         return usual_interval, pool.ping_interval()
 
     assert asyncio.run(main()) == (interval, 1.0)
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize("price, connection_count", [(0.0, 3), (0.08, 1)])
 def test_connections_are_shared_if_handshakes_have_a_price(price, connection_count):
     async def main():
-        pool = EnginePool(ConnectionLimits(32, 15.0, 0.25, handshake_price=price), (), 90, Counters())
+        pool = EnginePool(ConnectionLimits(32, 15.0, 0.25, handshake_cost=price), (), 90, Counters())
         endpoint = endpoints.Endpoint(api.EngineEntry(1), ("127.0.0.1", 1))
         pool.update(endpoints.EndpointUpdate(1, True, (endpoint,)))
         engine = pool.engines[1]
@@ -164,7 +164,7 @@
         start_attempt(b"2", "lookup")
         count_after_three = start_attempt(b"3", "lookup")
         count_after_exclusive = start_attempt(b"4", "load", exclusive=True)
-        pool.record_corrupt_reply()  # from now on a shared connection could lose several attempts at once
+        pool.record_corruption()  # from now on a shared connection could lose several attempts at once
         count_under_suspicion = start_attempt(b"5", "lookup")
         while engine.connections:
             await asyncio.sleep(0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -174,7 +174,7 @@
 def test_an_attempt_that_ends_in_the_same_iteration_determines_the_final_response(
     class_index, result, response, signal, attempt_ends_first
 ):
-    """The order of the inbox alone would reject a load that was possibly executed, and lose a result."""
+    """In the order of the inbox, a request that may have run would be rejected and a result lost."""
 
     async def steps(setup):
         task, request = await setup.handle_with_attempt(class_index)
@@ -284,12 +284,12 @@
 
 
 def test_a_drain_withdraws_commands_that_wait_for_a_full_socket_buffer():
-    """They could reach the engine up to a second later, which is twice the grace period of a drain."""
+    """They could reach the engine up to 1 s later, but the usual grace period of a drain is 0.5 s."""
 
     async def steps(setup):
         setup.engine.may_read.clear()
-        # With a price for handshakes, all attempts share one connection.
-        setup.pool.limits = ConnectionLimits(32, 15.0, 5.0, handshake_price=1.0, drain_grace=0.2)
+        # If handshakes have a cost, all attempts share one connection.
+        setup.pool.limits = ConnectionLimits(32, 15.0, 5.0, handshake_cost=1.0, drain_grace=0.2)
         for number in range(30):
             setup.start_attempt(b"%d" % number, b"x" * 800_000)
             await asyncio.sleep(0.002)
@@ -439,7 +439,7 @@
 
 
 @pytest.mark.parametrize("rest", [b"", msgpack.packb([0, 1, "probe", [{}]])[5:]])
-def test_a_message_whose_rest_arrives_before_its_late_timeout_runs_is_handled(rest, monkeypatch):
+def test_a_message_that_is_complete_before_its_overdue_timeout_runs_is_handled(rest, monkeypatch):
     """After a stall, the timeout and the rest of the message are due together; the rest must not be lost."""
     monkeypatch.setattr(server_connection, "MESSAGE_TIMEOUT_SECONDS", 0.05)
     message = msgpack.packb([0, 1, "probe", [{}]])
@@ -510,7 +510,7 @@
 
 
 def test_an_idle_connection_that_the_engine_has_closed_is_not_used_even_if_the_close_is_unread():
-    """A command written after the close counts as possibly executed, so a load would fail for no reason."""
+    """A command written after the close counts as possibly executed, so its request might not be retried."""
 
     async def steps(setup):
         setup.start_attempt(b"1")
@@ -528,7 +528,7 @@
 
 
 def test_a_connection_with_a_truncated_reply_is_not_used_again():
-    """The rest of the truncated reply would corrupt the next reply, and a successful load would fail."""
+    """The rest of the truncated reply would corrupt the next one, so a successful request would fail."""
 
     async def steps(setup):
         attempt = setup.start_attempt(b"1")
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -63,7 +63,7 @@
     def next_probe_tag(self):
         return b"p1"
 
-    def record_corrupt_reply(self):
+    def record_corruption(self):
         self.corrupt_count += 1
 
     def ping(self, tag):
