--- a/applevale/admin/ejection_store.py
+++ b/applevale/admin/ejection_store.py
@@ -88,7 +88,7 @@
                 version = FileVersion.of(os.fstat(file.fileno()))
             os.replace(temporary_path, self.path)
         except OSError as error:
-            log_event("bans", f"{self.path}: {error}")
+            log_event("bans", f"cannot write the ejections to {self.path}: {error}")
             return
         self._known_version = version
 
@@ -98,5 +98,5 @@
                 return decode(file.read())
         except (OSError, EjectionFileError) as error:
             count = len(self.registry.ejected)
-            log_event("bans", f"{self.path}: {error}; this process keeps its {count} ejections")
+            log_event("bans", f"cannot read {self.path}: {error}; this process keeps its {count} ejections")
             return None
