--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -30,7 +30,8 @@
 MAX_READ_DELAY_SECONDS = 0.1  # largest read delay that is subtracted from the timeout of a request
 
 # A batch that is later than this is put off until sockets have been read for some loop iterations. Otherwise
-# requests would be sent for clients that have disconnected, and to engines whose drain is still unread.
+# requests would be sent for clients that have disconnected and to engines that have begun to drain, because
+# neither has been read yet.
 READ_FIRST_LATENESS_SECONDS = 0.06
 READ_FIRST_ITERATIONS = 4
 
@@ -186,7 +187,7 @@
         match action:
             case api.Send() | api.SetResources() | api.Reject() | api.Fail() | api.Cancel():
                 handler = self.action_handlers.get(action.request_id)
-                if handler is not None:  # else the client has gone, and its attempt was cancelled
+                if handler is not None:  # there is none if the client has gone; its attempt was cancelled
                     handler(action)
             case api.SetTimer():
                 loop = asyncio.get_running_loop()
--- a/applevale/gossip/exchange.py
+++ b/applevale/gossip/exchange.py
@@ -8,7 +8,7 @@
 from ..dispatch.event_loop_driver import EventLoopDriver
 from ..net.datagrams import DatagramSocket
 from ..observability.counters import Counters
-from .load_report_codec import VERSION, LoadReportError
+from .load_report_codec import LOAD_REPORT_VERSION, LoadReportError
 from .load_reports import LoadReports
 
 # Time that a report waits for a dispatch with which it can share a datagram. Dispatches are sent at once, as
@@ -28,7 +28,7 @@
         Args:
             datagrams: The socket of all datagrams between instances.
             reports: Decides what to send.
-            clock: The clock of the times of reports.
+            clock: The clock that gives the time of each report.
             counters: The counters of sent datagrams and bytes.
         """
         self.datagrams = datagrams
@@ -74,7 +74,7 @@
         self.reports = reports
         self.driver = driver
         self.counters = counters
-        datagrams.handlers[VERSION] = self._receive
+        datagrams.handlers[LOAD_REPORT_VERSION] = self._receive
 
     def _receive(self, sender: int, data: bytes) -> None:
         try:
--- a/applevale/gossip/load_report_codec.py
+++ b/applevale/gossip/load_report_codec.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-VERSION = 2
+LOAD_REPORT_VERSION = 2  # first byte of a load report, which also tells it from other datagrams
 MAX_DATAGRAM_BYTES = 64
 HEADER = struct.Struct(">BB")
 DISPATCH_ENTRY = struct.Struct(">HB")
@@ -106,7 +106,7 @@
 
 def encode(dispatches: Sequence[Dispatch], loads: Sequence[EngineLoad]) -> bytes:
     """Encode dispatches and reports as a datagram."""
-    parts = [HEADER.pack(VERSION, len(dispatches))]
+    parts = [HEADER.pack(LOAD_REPORT_VERSION, len(dispatches))]
     parts += [DISPATCH_ENTRY.pack(short_id, threads) for short_id, threads in dispatches]
     parts += [SHORT_ENGINE_ID.pack(short_id) + values for short_id, values in loads]
     return b"".join(parts)
@@ -118,8 +118,8 @@
     Raises:
         LoadReportError: The version is unknown, or the length does not match the number of entries.
     """
-    if len(data) < HEADER.size or data[0] != VERSION:
-        raise LoadReportError(f"{len(data)} bytes are not a load report of version {VERSION}")
+    if len(data) < HEADER.size or data[0] != LOAD_REPORT_VERSION:
+        raise LoadReportError(f"{len(data)} bytes are not a load report of version {LOAD_REPORT_VERSION}")
     dispatch_count = data[1]
     loads_start = HEADER.size + DISPATCH_ENTRY.size * dispatch_count
     if loads_start > len(data) or (len(data) - loads_start) % load_entry_size:
--- a/applevale/server/connection.py
+++ b/applevale/server/connection.py
@@ -50,7 +50,7 @@
 
     Attributes:
         sock: The connected socket.
-        arrival_source: The socket as a source of ordered requests.
+        arrival_source: The socket, to determine the order of arrivals.
         write_queue: Responses that wait to be written.
         calls: Calls that have no response yet, by message id.
         incomplete_bytes: Number of received bytes that belong to an incomplete message.
--- a/applevale/server/listener.py
+++ b/applevale/server/listener.py
@@ -29,7 +29,7 @@
 
     Attributes:
         connections: The open connections.
-        arrival_source: The listening socket as a source of ordered requests.
+        arrival_source: The listening socket, to determine the order of arrivals.
     """
 
     def __init__(
@@ -158,7 +158,7 @@
         listener.close()
 
     def readable_sources(self) -> list[ArrivalSource]:
-        """Return the sockets that have something to read, as sources of ordered requests."""
+        """Return the sources of the sockets that have data or connections to read."""
         sources = {connection.sock.fileno(): connection.arrival_source for connection in self.connections}
         if self._listener is not None:
             sources[self._listener.fileno()] = self.arrival_source
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -47,7 +47,7 @@
     assert run("rig", "nothing").exit_code == 2
 
 
-def test_a_short_run_of_the_registry_rig_keeps_the_guarantees():
+def test_a_short_run_of_rig_registry_succeeds():
     completed = subprocess.run(
         [
             sys.executable,
