--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -19,9 +19,11 @@
         self._outliers = outliers
         self._admission = admission
         self._load = load
-        rules = context.settings
-        self._retry_budget = rate_limits.RatioBudget(rules.budget_span, rules.budget_share, rules.budget_free)
-        shortest_target = min(spec.aim for spec in rules.classes)
+        settings = context.settings
+        self._retry_budget = rate_limits.RatioBudget(
+            settings.budget_span, settings.budget_share, settings.budget_free
+        )
+        shortest_target = min(spec.aim for spec in settings.classes)
         self._min_overdue_time = config.MIN_OVERDUE_TARGET_SHARE * shortest_target
         self._delivery_time = 0.0  # time from the end of the last answered request to its delivery
         self.pending: dict[int, PendingRequest] = {}  # requests by id
@@ -184,7 +186,11 @@
             self.key_queues.blocks.discard(event.order_key, event.request_id)
 
     def sweep(self, stall: float) -> None:
-        """Answer requests near their deadlines, by the last stall (s), and cancel overdue attempts."""
+        """Answer requests near their deadlines, and cancel overdue attempts.
+
+        Args:
+            stall: Duration (s) of a recent stall of this instance, which makes final answers due earlier.
+        """
         for pending in list(self.pending.values()):
             if self._context.now > pending.final_answer_at(stall) and not pending.is_streaming:
                 self.reject_or_fail(pending)
--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -96,9 +96,11 @@
 
 # Attempts and final answers.
 MAX_ENGINE_ERRORS = 2  # number of engines whose errors end a request
-OVERDUE_FACTOR = 3.0  # an attempt is overdue after this multiple of its expected, scatter-corrected run time
+# An attempt is overdue after this multiple of its expected run time, which is corrected for scatter unless
+# the engine reports progress.
+OVERDUE_FACTOR = 3.0
 OVERDUE_GROWTH = 2  # factor to that time for each earlier attempt of the request
-MIN_OVERDUE_TARGET_SHARE = 0.6  # least such time, as a share of the shortest target latency, to allow a retry
+MIN_OVERDUE_TARGET_SHARE = 0.6  # least overdue time, as a share of the shortest target latency
 ATTEMPT_TIMEOUT_FACTOR = 2  # multiple of the overdue time, where attempts cannot be cancelled
 MIN_PROGRESS = 0.001  # least share done from which the run time is extrapolated
 TURN_TIME_FACTOR = 4.0  # multiple of the run time that a turn should leave, since run times scatter
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -97,7 +97,7 @@
             missing = [engine.entry for engine_id, engine in self.engines.items() if engine_id not in entries]
             entries |= {entry.engine_id: replace(entry, state=api.EngineState.GONE) for entry in missing}
         for entry in entries.values():
-            # The instances see a new engine together: their budgets for it begin with different debts.
+            # All instances learn of a new engine at the same time; random debts spread their first requests.
             initial_debt = context.random.random() * context.value_density.mean_cost.value
             self._apply_entry(entry, initial_debt)
         self.scheduler.engine_orders.clear()
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -25,7 +25,7 @@
         self._own_threads.add(self._context.now, self.threads_in_flight)
 
     def update_thread_limits(self) -> None:
-        """Set the limits by priority, which differ only as the fleet fills up."""
+        """Set the limits by priority; low priorities get lower ones only as the fleet fills up."""
         relative_load = config.LIMIT_RAMP_SLOPE * sum(self.fleet_load()) / config.THREAD_LIMIT
         pressure = min(max(relative_load - config.LIMIT_RAMP_OFFSET, 0.0), 1.0)
         pressures = (pressure, pressure, pressure, 1.0)  # by priority; the top one has its limit at all times
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -154,7 +154,7 @@
         self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)  # accrues from now on
 
     def runs_table_load(self, table_group: float) -> bool:
-        """Return whether an own attempt on it loads a table group, which blocks the readers."""
+        """Return whether an attempt of this instance loads the tables there, which blocks their readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
         return any(pending.spec.load and pending.request.table_group == table_group for pending in requests)
 
@@ -181,7 +181,7 @@
         max_level = own_rate * settings.fall / config.COLD_BURST_DIVISOR
         self.cold_budget.refill(now, own_rate, max_level)
         max_work = fleet_rate * settings.fall * config.COLD_REQUEST_SHARE
-        # The share of one instance may be under one request, so one that is sent may leave a debt.
+        # This instance's share may be smaller than one request, so a request that is sent may leave a debt.
         return self.cold_budget.level >= 0 and work <= max_work
 
 
