--- a/applevale/discovery/registry/loop_lag.py
+++ b/applevale/discovery/registry/loop_lag.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from math import inf
 
-LATENESS_DECAY = 0.8  # Factor per tick.
+LATENESS_DECAY = 0.8  # The recent lateness is multiplied by this at each tick.
 MAX_GRACE_TICKS = 3  # Further consecutive late ticks have no grace period.
 
 
--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -13,15 +13,15 @@
 from ...startup.staleness_guard import GuardState, StalenessGuard
 from .watcher_config import WatcherConfig
 
-MIN_CONSECUTIVE_FAST_RESPONSES = 10  # After these the service counts as fast.
-STANDBY_DELAY_PER_LATENESS = 10.0  # Ratio of the additional delay to the lateness of the event loop.
+MIN_CONSECUTIVE_FAST_RESPONSES = 10  # From this number on, responses count as fast.
+STANDBY_DELAY_PER_LATENESS = 10.0  # Additional standby delay per lateness of the event loop.
 MIN_POLL_INTERVAL_RATIO = 0.9  # Lowest ratio of the shortest to the longest poll interval.
 POLL_DEADLINE_SHARE = 0.9  # Share of `max_staleness` within which the response to a poll is expected.
 SEVERE_STALENESS_FACTOR = 1.5  # Beyond this multiple of `max_staleness`, even fast responses are violations.
-STANDBY_DELAY_PER_LATENCY = 2  # Ratio to the upper bound of the latency.
-SESSION_TIMEOUT_PER_LATENCY = 4  # Ratio to the upper bound of the latency.
-STANDBY_TIMEOUT_PER_DELAY = 2  # Ratio to the time for which the active session was silent.
-MIN_STANDBY_TIMEOUT_SHARE = 0.4  # Share of `max_staleness`.
+STANDBY_DELAY_PER_LATENCY = 2  # Least standby delay, as a multiple of the latency's upper bound.
+SESSION_TIMEOUT_PER_LATENCY = 4  # Least session timeout, as a multiple of the latency's upper bound.
+STANDBY_TIMEOUT_PER_DELAY = 2  # Standby timeout, as a multiple of the standby delay.
+MIN_STANDBY_TIMEOUT_SHARE = 0.4  # Least standby timeout, as a share of `max_staleness`.
 MAX_BACKOFF_DOUBLINGS = 20
 
 
--- a/applevale/gossip/load_reports.py
+++ b/applevale/gossip/load_reports.py
@@ -36,15 +36,15 @@
 
 MAX_COST_SHARE = 0.03  # Share of a request's worth that the load reports sent for it may cost.
 DISPATCH_COST_SHARE = 0.025  # The part of `MAX_COST_SHARE` that is available for dispatches.
-FULL_PRICE_BYTES = 256.0  # Bytes delivered to peers for each request that cost the price in the settings.
+FULL_PRICE_BYTES = 256.0  # Bytes delivered to peers per request that cost `price`.
 MIN_PRICE = 1e-9  # Replaces a price of 0 as a divisor.
-MAX_BUDGET_BYTES = 64.0  # Maximum that accumulates.
+MAX_BUDGET_BYTES = 64.0  # Limit of the unspent budget.
 MIN_CHARGED_BYTES = 16  # Minimum charge for a datagram, however short it is.
 REFRESH_INTERVAL_SECONDS = 0.4  # Time after which an unchanged load is reported again.
 MIN_INTERVAL_SECONDS = 0.1  # Minimum time between two reports of one engine.
 # A figure has changed if the difference exceeds both limits.
-MIN_RELATIVE_CHANGE = 0.25  # Share of the earlier figure.
-MIN_CHANGE_STEPS = 2.0  # In steps of the encoded byte: one query, or 1% of a utilization.
+MIN_RELATIVE_CHANGE = 0.25  # Difference as a share of the earlier figure.
+MIN_CHANGE_STEPS = 2.0  # Difference in steps of the encoded byte: one query, or 1% of a utilization.
 
 
 class LatestReport(NamedTuple):
--- a/applevale/membership/config.py
+++ b/applevale/membership/config.py
@@ -20,7 +20,7 @@
 GOSSIP_RESERVE_BYTES = 80.0
 HELP_RESERVE_BYTES = 100.0
 
-FINAL_CHECK_TRANSMITS = 2  # Minimum of further transmits of a suspicion when its final check starts.
+FINAL_CHECK_TRANSMITS = 2  # Least further transmits of a suspicion once its final check starts.
 # Transmits of an update, as multiples of the binary logarithm of the fleet size.
 RECORD_TRANSMIT_FACTOR = 1.2
 SUSPICION_TRANSMIT_FACTOR = 0.9  # Applies anew each time a suspicion gains decisive observers.
--- a/applevale/membership/local_health.py
+++ b/applevale/membership/local_health.py
@@ -8,8 +8,8 @@
 from .config import FALSE_SUSPICION_WINDOW_SECONDS, MAX_LOCAL_HEALTH_SCORE
 from .context import ProtocolContext
 
-SCORE_DECREASE = 0.5  # For each answered probe.
-SCORE_INCREASE = 1.0  # For each sign that this member itself is slow.
+SCORE_DECREASE = 0.5  # Subtracted for each answered probe.
+SCORE_INCREASE = 1.0  # Added for each sign that this member itself is slow.
 
 
 class LocalHealth:
