--- a/applevale/engines/pool.py
+++ b/applevale/engines/pool.py
@@ -21,7 +21,7 @@
 # Silence after which a busy connection is pinged.
 PING_INTERVAL_SECONDS = 3.0
 PING_INTERVAL_UNDER_SUSPICION_SECONDS = 1.0  # while corruption is suspected
-CHEAP_PROBE_PRICE = 0.02  # `probe_price` above which the ping interval grows in proportion
+CHEAP_PROBE_PRICE = 0.02  # the ping interval grows in proportion to `probe_price` above this
 
 
 def _always_confirmed() -> bool:
@@ -93,7 +93,7 @@
     def shares_connections(self) -> bool:
         """Return whether sharing a busy connection is preferred to opening a new one.
 
-        It is if handshakes have a price, unless corruption is suspected: a corrupt reply ends all streams of
+        It is if handshakes have a cost, unless corruption is suspected: a corrupt reply ends all streams of
         its connection.
         """
         return self.limits.handshake_cost > 0 and not self.corruption_suspected()
@@ -101,7 +101,7 @@
     def ping_interval(self) -> float:
         """Return the seconds of silence after which a busy connection is pinged.
 
-        Pings have the price of probes, so the interval is longer at a high price. It is always short while
+        A ping costs as much as a probe, so the interval is longer at a high price. It is always short while
         corruption is suspected.
         """
         if self.corruption_suspected():
--- a/applevale/requests/model.py
+++ b/applevale/requests/model.py
@@ -25,7 +25,7 @@
         order_key: Requests with the same key are executed in order of arrival; 0 for no order.
         estimated_work: The client's estimate of the work in core-seconds; 0 for none.
         estimated_memory_mb: The client's estimate of the memory in MB; 0 for none.
-        table_group: Number of the table group that the statement uses; 0 for none.
+        table_group: Number in the schema names of the tables that the statement uses; 0 for none.
         is_client_retry: Whether the client marked the request as a retry.
         is_order_unknown: Whether it may have arrived before an earlier-read request with the same key.
         is_client_gone: Returns whether the client has hung up, even if the end of the stream is unread.
--- a/applevale/runtime/application.py
+++ b/applevale/runtime/application.py
@@ -37,7 +37,7 @@
 
 # Counters are logged at this interval, because a process that is killed cannot log them at its exit.
 COUNTERS_LOG_INTERVAL_SECONDS = 5.0
-CLIENT_BUFFER_MEMORY_SHARE = 0.125  # the share of the memory for messages from and responses to clients
+CLIENT_BUFFER_MEMORY_SHARE = 0.125  # share of the memory for buffered messages and responses of clients
 
 
 class Application:
