--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -97,7 +97,7 @@
             missing = [engine.entry for engine_id, engine in self.engines.items() if engine_id not in entries]
             entries |= {entry.engine_id: replace(entry, state=api.EngineState.GONE) for entry in missing}
         for entry in entries.values():
-            # The instances see a new engine together: their budgets for it begin with different debts.
+            # All instances learn of a new engine at the same time; random debts spread their first requests.
             initial_debt = context.random.random() * context.value_density.mean_cost.value
             self._apply_entry(entry, initial_debt)
         self.scheduler.engine_orders.clear()
@@ -126,7 +126,7 @@
         if request.is_order_unknown:  # its execution could break the order of its key
             self.attempts.reject_or_fail(pending)
             return
-        self.admission.assess_memory_risk(pending, self.scheduler.preferred_engines(pending))
+        self.admission.assess_memory_risk(pending, self.scheduler.engines_by_preference(pending))
         self.scheduler.enqueue(pending)
 
     def _on_outcome(self, event: api.AttemptOutcome) -> None:
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -96,12 +96,17 @@
     def __init__(self, spec: api.ClassSpec):
         """Create the statistics of a class without completed requests."""
         self.spec = spec
-        mean_work = max(spec.aim / config.TARGET_RUN_TIMES * spec.threads, config.MIN_MEAN_WORK_SECONDS)
-        self.work = estimators.EstimateCorrection(mean_work, config.MAX_RATIO)
-        self.memory = estimators.EstimateCorrection(0.0, config.MAX_RATIO)
+        mean_work = max(
+            spec.aim / config.TARGET_TO_RUN_TIME_RATIO * spec.threads, config.MIN_MEAN_WORK_SECONDS
+        )
+        self.work = estimators.EstimateCorrection(mean_work, config.MAX_LEARNED_RATIO)
+        self.memory = estimators.EstimateCorrection(0.0, config.MAX_LEARNED_RATIO)
         self.memory_pressure_share = estimators.RunningMean(0.0)  # share of requests that met pressure
         self.run_time = estimators.RunTimeEstimate(
-            config.SLOWDOWN_PRIOR, config.SCATTER_PRIOR, config.MAX_RATIO, config.MAX_EXPECTED_SLOWDOWN
+            config.SLOWDOWN_PRIOR,
+            config.SCATTER_PRIOR,
+            config.MAX_LEARNED_RATIO,
+            config.MAX_EXPECTED_SLOWDOWN,
         )
 
     def learn(self, attempt: Attempt, event: api.AttemptOutcome, run_time: float) -> bool:
@@ -149,7 +154,7 @@
         self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)  # accrues from now on
 
     def runs_table_load(self, table_group: float) -> bool:
-        """Return whether an own attempt on it loads a table group, which blocks the readers."""
+        """Return whether an attempt of this instance loads the tables there, which blocks their readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
         return any(pending.spec.load and pending.request.table_group == table_group for pending in requests)
 
@@ -176,7 +181,7 @@
         max_level = own_rate * settings.fall / config.COLD_BURST_DIVISOR
         self.cold_budget.refill(now, own_rate, max_level)
         max_work = fleet_rate * settings.fall * config.COLD_REQUEST_SHARE
-        # The share of one instance may be under one request, so one that is sent may leave a debt.
+        # This instance's share may be smaller than one request, so a request that is sent may leave a debt.
         return self.cold_budget.level >= 0 and work <= max_work
 
 
