--- a/applevale/admin/ejection_store.py
+++ b/applevale/admin/ejection_store.py
@@ -98,5 +98,7 @@
                 return decode(file.read())
         except (OSError, EjectionFileError) as error:
             count = len(self.registry.ejected)
-            log_event("ejection", f"cannot read {self.path}: {error}; this process keeps its {count} ejections")
+            log_event(
+                "ejection", f"cannot read {self.path}: {error}; this process keeps its {count} ejections"
+            )
             return None
