--- a/applevale/rate_limits.py
+++ b/applevale/rate_limits.py
@@ -113,7 +113,7 @@
     Attributes:
         quota: What is left of the quota.
         events: Number of events in this window.
-        missed: Number of those that were not expected.
+        missed: Number of those events that were not predicted.
         next_refill: Time (s) at which the next window may start.
     """
 
@@ -140,9 +140,9 @@
         self.events += 1
         self.missed += is_missed
 
-    def spend(self, price: float) -> bool:
-        """Pay a price, if the quota allows it; return whether it was paid."""
-        if self.quota < price:
+    def spend(self, cost: float) -> bool:
+        """Deduct a cost if the quota suffices; return whether it was deducted."""
+        if self.quota < cost:
             return False
-        self.quota -= price
+        self.quota -= cost
         return True
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -12,7 +12,7 @@
 from applevale.policy.config import MAX_LEARNED_RATIO
 
 
-def test_the_price_of_a_memory_risk_rises_with_uncertainty_and_falls_with_misses():
+def test_the_cost_of_a_memory_risk_rises_with_uncertainty_and_falls_with_misses():
     assert memory_risk_cost(1.0, 0) == pytest.approx(1.0)
     assert memory_risk_cost(0.5, 0) == pytest.approx(2.0)
     assert memory_risk_cost(0.5, 5) < memory_risk_cost(0.5, 0)
