--- a/applevale/harness/__init__.py
+++ b/applevale/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Harnesses: the real program between fakes, failures from a seed, and a check of what is guaranteed."""
+"""Test harnesses that run the real application against fakes, inject seeded faults and check guarantees."""
--- a/applevale/harness/default_settings.py
+++ b/applevale/harness/default_settings.py
@@ -1,10 +1,10 @@
-"""The settings that all harnesses give to the processes they start."""
+"""Settings that all harnesses pass to the processes they start."""
 
 from ..simulator_wire.units import NANOSECONDS_PER_SECOND
 
 ZONES = ["east", "west"]
 MACHINE_KINDS = ["std"]
-# What the simulator would send as settings; times in nanoseconds.
+# The settings in the format of the simulator, which sends all times in nanoseconds.
 SETTINGS = {
     "az": 0,
     "me": 0,
--- a/applevale/harness/fault_executor.py
+++ b/applevale/harness/fault_executor.py
@@ -21,15 +21,16 @@
 
 @dataclass
 class FaultTargets:
-    """What faults act on; the lists may still grow.
+    """The parts of a fleet on which faults act. The lists may still grow.
 
     Attributes:
-        instances: The instances whose processes are ended, paused or replaced.
-        proxies: The TCP proxies that follow `link_conditions`.
-        link_conditions: The faults on the network.
-        registry: The registry that receives orders.
-        launch: Starts an ended instance again.
-        upgrade_entry: The module that an upgraded process runs; empty for the package's own.
+        instances: The instances whose processes are killed, terminated, paused or upgraded.
+        proxies: The TCP proxies that apply `link_conditions`.
+        link_conditions: The active network faults.
+        registry: The fake registry.
+        launch: Starts the process of an instance that has ended.
+        upgrade_entry_point: Module that an upgraded process runs, and its arguments; empty for the
+            application itself.
     """
 
     instances: Sequence[FleetInstance]
@@ -37,32 +38,38 @@
     link_conditions: LinkConditions
     registry: RegistryProcess
     launch: Callable[[FleetInstance], Awaitable[None]]
-    upgrade_entry: tuple[str, ...] = ()
+    upgrade_entry_point: tuple[str, ...] = ()
 
 
 class FaultExecutor:
-    """Carries out the steps of a schedule; steps may overlap."""
+    """Executes the steps of a fault schedule, which may overlap in time."""
 
-    def __init__(self, targets: FaultTargets, recorder: HistoryRecorder, stats: Counter):
-        """Record faults and ended processes with `recorder`; count faults and bad exit codes in `stats`."""
+    def __init__(self, targets: FaultTargets, recorder: HistoryRecorder, figures: Counter):
+        """Create an executor for the running event loop.
+
+        Args:
+            targets: The parts of the fleet on which the faults act.
+            recorder: Records faults and ends of processes.
+            figures: Counts the faults of each kind (`fault_KIND`) and the exit codes other than 0.
+        """
         self.targets = targets
         self.recorder = recorder
-        self.stats = stats
+        self.figures = figures
         self.loop = asyncio.get_running_loop()
-        self.open_outages = 0  # `down` orders to the registry without their `up`
+        self.open_outages = 0  # registry outages that have begun and not ended
 
     async def play(self, steps: list[schedule.Step]) -> None:
-        """Carry out the steps of a schedule, each at its time; return when all are over."""
+        """Execute all steps, each at its time; return when the last one has ended."""
         await schedule.play_schedule(steps, self, self._record_fault, time.monotonic)
 
     def _record_fault(self, at: float, step: schedule.Step) -> None:
         fields = msgspec.to_builtins(step)
         fields.pop("at")
         self.recorder.record("fault", at, **fields)
-        self.stats["fault_" + fields["do"]] += 1
+        self.figures["fault_" + fields["do"]] += 1
 
     async def execute(self, step: schedule.Step) -> None:
-        """Carry out one step; return when it is over."""
+        """Execute one step; return when it has ended."""
         match step:
             case schedule.ApplyLinkCondition():
                 await self._apply_link_condition(step)
@@ -104,11 +111,14 @@
             proxy.on_conditions_changed()
 
     async def _order_registry(self, step: schedule.OrderRegistry) -> None:
-        """Order the registry; outages may overlap, and it is up again when the last of them ends."""
+        """Send an order to the registry.
+
+        Outages may overlap: the registry goes down with the first and comes up when the last one ends.
+        """
         if step.order in ("down", "up"):
-            former = self.open_outages
+            outages_before = self.open_outages
             self.open_outages += 1 if step.order == "down" else -1
-            if former and self.open_outages:
+            if outages_before and self.open_outages:
                 return
         await self.targets.registry.order(step.order, **step.values)
 
@@ -125,27 +135,27 @@
         async with instance.lifecycle_lock:
             process = instance.program.process
             instance.ended_at.append(self.loop.time())
-            await instance.program.listening.wait()  # until then it has no handler of the signal
+            await instance.program.listening.wait()  # the signal handler is installed before that
             process.terminate()
             await process.wait()
-            self.stats["bad_exits"] += bool(process.returncode)
+            self.figures["bad_exits"] += bool(process.returncode)
             await self._restart(instance, "term", restart_after)
 
     async def _upgrade(self, instance: FleetInstance, overlap: float) -> None:
         async with instance.lifecycle_lock:
             former = instance.program.process
             instance.ended_at.append(self.loop.time())
-            await instance.program.launch(*self.targets.upgrade_entry)
+            await instance.program.launch(*self.targets.upgrade_entry_point)
             try:
                 await asyncio.sleep(overlap)
                 instance.ended_at.append(self.loop.time())
             finally:
                 former.terminate()
                 await former.wait()
-            self.stats["bad_exits"] += bool(former.returncode)
+            self.figures["bad_exits"] += bool(former.returncode)
 
     async def _restart(self, instance: FleetInstance, cause: str, restart_after: float | None) -> None:
-        """Record the end of a process, and start it again after a delay unless that is None."""
+        """Record the end of a process, and restart it after `restart_after` seconds unless that is None."""
         instance.is_ready = False
         instance.is_confirmed = False
         self.recorder.record("ended", who=instance.name, how=cause)
--- a/applevale/harness/fleet.py
+++ b/applevale/harness/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet harness: many real processes, a registry, engines and clients, with faults between them.
+"""The fleet harness: many real processes with a registry, engines and clients, and faults on all of them.
 
-It causes what a scenario says, and records one history for the checkers, which know nothing of the
-application. All processes that it started have ended when `Fleet.stop` returns.
+A scenario drives the fleet. The fleet records a single history of the run, which the checkers evaluate
+without any code of the application. `Fleet.stop` ends all processes that were started.
 """
 
 from __future__ import annotations
@@ -29,28 +29,29 @@
 from .managed_process import ManagedProcess
 from .registry_process import RegistryProcess
 
-CONVERGENCE_TIMEOUT_SECONDS = 8.0  # within which every list of engines is the registry's
+CONVERGENCE_TIMEOUT_SECONDS = 8.0  # for all engine lists to match the registry
 POLL_INTERVAL_SECONDS = 0.02
 CONVERGENCE_POLL_INTERVAL_SECONDS = 0.2
 INSTANCE_SEED_BITS = 48
 
 
 class Fleet:
-    """The processes of a scenario: instances `n0`..., registry members `list0`..., engines `e0`...
+    """A fleet: instances named `n0`..., registry members named `list0`... and engines named `e0`...
 
     Attributes:
-        registry: The registry.
-        engines: The engines, and the list of them in the registry.
-        instances: The instances, once `start` has returned.
+        registry: The process of the fake registry.
+        engines: The fake engines and their records in the registry.
+        instances: The instances; empty until `start` creates them.
         clients: The clients of the instances.
-        figures: What is counted in the run.
-        links: The network between all parts, with its faults.
-        import_s: Seconds that processes which only import the application took; see `measure_imports`.
-        idle: The figures of the last `measure_idle`.
+        figures: Counts of the run, by name.
+        links: The network between all parts, with its proxies and faults.
+        import_seconds: Results of `measure_imports`: for each process, the seconds it took to start and
+            import the application.
+        idle_usage: Figures of the last measurement by `measure_idle`.
     """
 
     def __init__(self, plan: FleetPlan):
-        """Prepare what `plan` describes; nothing is started yet."""
+        """Prepare the fleet that `plan` describes, without starting anything."""
         self.plan = plan
         self.random = Random(plan.seed)
         self.loop = asyncio.get_running_loop()
@@ -61,8 +62,8 @@
         self.engines = FleetEngines(plan, self.registry, self.random)
         self.instances: list[FleetInstance] = []
         self.clients = FleetClients(plan, self.instances, self.recorder, self.random)
-        self.import_s: list[float] = []
-        self.idle: dict[str, float] = {}
+        self.import_seconds: list[float] = []
+        self.idle_usage: dict[str, float] = {}
         self.fault_executor = FaultExecutor(
             FaultTargets(
                 self.instances,
@@ -70,7 +71,7 @@
                 self.links.conditions,
                 self.registry,
                 self.launch,
-                plan.entry,
+                plan.entry_point,
             ),
             self.recorder,
             self.figures,
@@ -78,42 +79,40 @@
 
     @property
     def events(self) -> list[dict]:
-        """The events recorded so far, without those that engines keep themselves."""
+        """The events recorded so far, without those that `history` reads from the engines."""
         return self.recorder.events
 
     def mark(self, name: str) -> None:
-        """Record that a part of the scenario begins or ends."""
+        """Record a named point in time of the scenario, such as the start or end of a phase."""
         self.recorder.record("mark", name=name)
 
     def history(self) -> History:
-        """Return the history of the run, with what the engines saw."""
+        """Return the history of the run, with the events seen by the engines."""
         addresses = map(format_address, self.engines.addresses)
         return self.recorder.history(zip(self.engines.fakes, addresses))
 
     def violations(self) -> Counter:
-        """Return the violations of the rules on requests, and the requests that faults excuse."""
+        """Return the counts of violated request rules, and of failed requests that a fault explains."""
         return self.clients.violations(self.engines.fakes)
 
-    # --- start and end --------------------------------------------------------------------------------------
-
     async def start(self) -> None:
-        """Start all but the instances."""
+        """Start the registry, engines and proxies, and create the instances without starting them."""
         await self.registry.start()
-        await self.registry.order("capacity", rate=self.plan.capacity)
+        await self.registry.order("capacity", rate=self.plan.registry_reads_per_second)
         registry_addresses = [
             await self.links.expose(f"list{number}", address)
             for number, address in enumerate(self.registry.addresses)
         ]
         await self.engines.start(self.links.expose)
         network = self.links.create_network(registry_addresses)
-        for number in range(self.plan.nodes):
+        for number in range(self.plan.instance_count):
             self.instances.append(self._create_instance(number, network))
 
     def _create_instance(self, number: int, network: FleetNetwork) -> FleetInstance:
         name = f"n{number}"
         config = instance_config(self.plan, network, number, self.random.getrandbits(INSTANCE_SEED_BITS))
         program = ManagedProcess(config, name, self.plan.checkout)
-        if self.plan.snapshot:  # in the folder that all processes of this instance share
+        if self.plan.store_snapshots:  # in the folder that the instance keeps over its restarts
             config["registry"]["snapshot"] = os.path.join(program.folder.name, "snapshot")
         instance = FleetInstance(number, name, program)
         program.on_event = lambda event: self._on_instance_event(instance, event)
@@ -125,25 +124,25 @@
             self.clients.start(instance)
 
     async def launch(self, instance: FleetInstance) -> None:
-        """Start the process of an instance, without waiting until it listens."""
+        """Start the process of an instance without waiting until it listens."""
         self.recorder.record("launched", who=instance.name)
         instance.is_ready = False
         instance.is_confirmed = False
-        entry = self.plan.entry if self.plan.entry_of in ("", instance.name) else ()
-        await instance.program.launch(*entry)
+        entry_point = self.plan.entry_point if self.plan.entry_point_instance in ("", instance.name) else ()
+        await instance.program.launch(*entry_point)
 
-    async def launch_all(self, over: float = 0.0) -> None:
-        """Start all instances at once, or one after the other over `over` seconds."""
+    async def launch_all(self, spread_seconds: float = 0.0) -> None:
+        """Start all instances: at once, or evenly spread over `spread_seconds`."""
         self.mark("launched")
         for instance in self.instances:
             await self.launch(instance)
-            if over:
-                await asyncio.sleep(over / len(self.instances))
+            if spread_seconds:
+                await asyncio.sleep(spread_seconds / len(self.instances))
 
     async def stop(self) -> None:
-        """End all that was started, also after a failure."""
+        """Stop everything that was started, also after a failure."""
         for instance in self.instances:
-            instance.program.on_event = lambda event: None  # the end of all is no part of the history
+            instance.program.on_event = lambda event: None  # the shutdown does not belong to the history
             await self.clients.stop(instance)
             if instance.is_running:
                 instance.program.process.send_signal(signal.SIGCONT)
@@ -152,11 +151,9 @@
         await self.engines.stop()
         await self.registry.stop()
 
-    # --- what scenarios do ----------------------------------------------------------------------------------
-
-    async def until(self, condition: Callable[[], bool], within: float) -> bool:
-        """Wait until `condition` holds; return whether it did within that many seconds."""
-        end = self.loop.time() + within
+    async def wait_until(self, condition: Callable[[], bool], timeout: float) -> bool:
+        """Wait until `condition` holds, for `timeout` seconds at most; return whether it holds."""
+        end = self.loop.time() + timeout
         while not condition():
             if self.loop.time() > end:
                 return False
@@ -164,42 +161,48 @@
         return True
 
     def open_sessions(self) -> set[str]:
-        """Return the connections (IP:PORT) that members of the registry serve, as it reports."""
+        """Return the client addresses (IP:PORT) of all open connections to the registry."""
         return self.recorder.open_sessions()
 
-    def all_listening(self) -> bool:
-        """Return whether each instance has listened since its last start."""
+    def are_all_listening(self) -> bool:
+        """Return whether each instance has reported to listen since its last start."""
         return all(instance.program.listening.is_set() for instance in self.instances)
 
-    async def run_event_loops(self) -> None:
-        """Return once the event loop of each instance has run its timers that are due by now.
+    async def wait_for_due_timers(self) -> None:
+        """Wait until each instance has run all timers that are due at the time of the call.
 
-        Of two dumps of counters that were written after this the second shows it: between the two, a loop
-        runs the timers that are due.
+        An event loop runs all due timers between two counter dumps. So the second dump that an instance
+        writes after the call shows that its timers have run.
 
         Raises:
             ManagedProcessError: An instance has ended.
         """
 
-        async def run_event_loop(program: ManagedProcess) -> None:
+        async def dump_after_due_timers(program: ManagedProcess) -> None:
             for _ in range(2):
                 requested_at = time.monotonic()
                 await program.counters()
-                while program.counters_at < requested_at:  # written by itself, and read only now
+                while program.counters_at < requested_at:  # an earlier dump, written without a request
                     await program.counters()
 
-        await asyncio.gather(*(run_event_loop(instance.program) for instance in self.instances))
+        await asyncio.gather(*(dump_after_due_timers(instance.program) for instance in self.instances))
 
-    async def all_ready(self, within: float) -> bool:
-        """Wait until all instances are ready; return whether they were within that many seconds."""
+    async def wait_until_ready(self, timeout: float) -> bool:
+        """Wait until all instances are ready, for `timeout` seconds at most; return whether they are.
+
+        With `plan.checkout`, an instance counts as ready once its engine list is confirmed.
+        """
 
         def has_started(instance: FleetInstance) -> bool:
             return instance.is_confirmed if self.plan.checkout else instance.is_ready
 
-        return await self.until(lambda: all(map(has_started, self.instances)), within)
+        return await self.wait_until(lambda: all(map(has_started, self.instances)), timeout)
 
-    async def quiet(self) -> None:
-        """Wait until every running instance has the list as written; count those that do not get it."""
+    async def wait_for_convergence(self) -> None:
+        """Wait until the engine list of each running instance matches the registry.
+
+        Instances whose list does not match in time are counted in the figure `wrong_lists`.
+        """
         expected = self.engines.digest()
         end = self.loop.time() + CONVERGENCE_TIMEOUT_SECONDS
         waiting = [instance for instance in self.instances if instance.is_running]
@@ -214,11 +217,11 @@
         self.figures["wrong_lists"] += len(waiting)
 
     def measure_idle(self) -> Callable[[], None]:
-        """Measure processor time and memory from now until the function returned is called."""
+        """Start to measure processor time and memory; calling the returned function ends the measurement."""
         meter = resource_usage.UsageMeter(self._process_ids(), self.registry.process.pid)
 
         def finish() -> None:
-            self.idle = meter.finish(self._process_ids())
+            self.idle_usage = meter.finish(self._process_ids())
 
         return finish
 
@@ -226,9 +229,11 @@
         return [instance.program.process.pid for instance in self.instances]
 
     async def measure_imports(self) -> None:
-        """Measure the machine's own part of a start of this many processes."""
-        self.import_s = await resource_usage.measure_imports(self.plan.nodes, self.plan.checkout)
+        """Measure how long this machine takes to start all processes, apart from what they do then."""
+        self.import_seconds = await resource_usage.measure_imports(
+            self.plan.instance_count, self.plan.checkout
+        )
 
     async def play(self, steps: list[Step]) -> None:
-        """Carry out the steps of a fault schedule; return when all are over."""
+        """Execute the steps of a fault schedule; return when the last one has ended."""
         await self.fault_executor.play(steps)
--- a/applevale/harness/fleet_clients.py
+++ b/applevale/harness/fleet_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a fleet, and what became of their requests."""
+"""The clients of a fleet, and the classification of their requests."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from .history_recorder import HistoryRecorder
 from .request_rules import NO_OVERLAP, count_violations
 
-FINAL_RESPONSE_MARGIN_SECONDS = 0.3  # before a client's deadline, when an undecided request is answered
-END_GRACE_SECONDS = 0.5  # after the end of a process in which a connection may still be cut by it
+FINAL_RESPONSE_MARGIN_SECONDS = 0.3  # an undecided request is answered so long before its deadline
+END_GRACE_SECONDS = 0.5  # a process may still cut connections for so long after its end
 CLIENT_EFFORT_MS = 400.0
 
 
 class FleetClients:
-    """A pool of clients for each instance of a fleet."""
+    """The clients of a fleet: one pool for each instance."""
 
     def __init__(
         self, plan: FleetPlan, instances: Sequence[FleetInstance], recorder: HistoryRecorder, random: Random
     ):
-        """Prepare the clients of these instances; the list of them may still grow.
+        """Prepare the clients without starting them.
 
         Args:
-            plan: The rate of requests, and how clients behave.
-            instances: The instances.
-            recorder: Records lost requests.
-            random: Draws what the clients send.
+            plan: The request rate and the behaviour of the clients.
+            instances: The instances of the fleet; the list may still grow.
+            recorder: Records the lost requests.
+            random: Source of the seeds of the pools.
         """
         self.plan = plan
         self.instances = instances
@@ -40,24 +40,24 @@
         self.random = random
 
     def start(self, instance: FleetInstance) -> None:
-        """Start the clients of an instance, unless they run already or the plan has none."""
-        if self.plan.clients and instance.client_task is None:
+        """Start the clients of an instance, unless they already run or the plan has no requests."""
+        if self.plan.requests_per_second and instance.client_task is None:
             instance.client_task = asyncio.create_task(self._run(instance))
 
     async def _run(self, instance: FleetInstance) -> None:
         profile = ClientProfile(
-            rate=self.plan.clients,
+            rate=self.plan.requests_per_second,
             connection_count=1,
             reconnect=True,
             effort_ms=CLIENT_EFFORT_MS,
-            repeat_rejected=self.plan.eager,
+            repeat_rejected=self.plan.repeat_rejected,
         )
         instance.clients = ClientPool(instance.program.address, Random(self.random.random()), profile)
         await instance.clients.start()
         await instance.clients.run(inf)
 
     async def settle(self) -> None:
-        """Send no new requests, and wait for the answers of those that are open."""
+        """Stop sending requests, and wait for the answers to open requests."""
         for instance in self.instances:
             if instance.client_task is not None:
                 instance.client_task.cancel()
@@ -66,20 +66,20 @@
         )
 
     async def stop(self, instance: FleetInstance) -> None:
-        """Send no new requests to an instance, and close all connections to it."""
+        """Stop sending requests to an instance, and close all connections to it."""
         if instance.client_task is not None:
             instance.client_task.cancel()
         if instance.clients is not None:
             await instance.clients.stop()
 
     def violations(self, engines: Sequence[ColdEngine]) -> Counter:
-        """Return the violations of the rules on requests, over all instances.
+        """Return the counts of violated request rules, over all instances.
 
-        Requests that were cut by the end of a process, or that became late while it was paused, are not
-        lost: they are counted apart.
+        A request does not count as lost if the end of a process cut its connection (`cut_by_ends`) or its
+        deadline passed while the process was paused (`late_by_standstill`).
 
         Args:
-            engines: All engines, with what they received.
+            engines: All engines, with the attempts that they received.
         """
         violations: Counter = Counter()
         for instance in self.instances:
@@ -96,7 +96,7 @@
         return violations
 
     def _classify(self, instance: FleetInstance, sent: SentRequest, violations: Counter) -> None:
-        """Count a request that a fault excuses; record one that was lost."""
+        """Count a failed request that a fault explains; record one that was lost."""
         if sent.disconnected_at and any(sent.sent_at <= end + END_GRACE_SECONDS for end in instance.ended_at):
             violations["cut_by_ends"] += 1
         elif sent.answers == [ANSWER_LATE] and any(
--- a/applevale/harness/fleet_config.py
+++ b/applevale/harness/fleet_config.py
@@ -1,4 +1,4 @@
-"""Configurations of the instances of a fleet."""
+"""Configuration of the instances of a fleet."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True)
 class FleetNetwork:
-    """Where the parts of a fleet are reached.
+    """The addresses of a fleet.
 
     Attributes:
-        port: The port on which each instance listens, at its own host.
-        registry: The members of the registry, as instances reach them.
-        datagrams: Each instance's own address for datagrams, by its name; empty without membership.
-        relay: The proxy that datagrams pass; None without membership.
+        port: The port on which all instances listen, each at the address of `instance_host`.
+        registry: The addresses at which instances reach the members of the registry.
+        datagrams: The datagram address of each instance, by its name; empty without membership.
+        relay: The proxy that forwards datagrams between instances; None without membership.
     """
 
     port: int
@@ -36,20 +36,20 @@
 
 
 def instance_config(plan: FleetPlan, network: FleetNetwork, number: int, seed: int) -> dict:
-    """Return the configuration of one instance, beside what all harnesses share.
+    """Return the configuration of one instance, without the defaults of `managed_process`.
 
     Args:
         plan: The plan of the fleet.
-        network: Where its parts are reached.
+        network: The addresses of the fleet.
         number: The number of the instance.
-        seed: The seed of its random draws.
+        seed: Seed of all random draws of the instance.
     """
     config: dict = {
         "listen": f"{instance_host(number)}:{network.port}",
         "local_address": source_address(number),
         "log": "json",
         "seed": f"{seed:x}",
-        "settings": SETTINGS | {"me": number, "fleet_size": plan.nodes},
+        "settings": SETTINGS | {"me": number, "fleet_size": plan.instance_count},
         "registry": {
             "kind": "etcd",
             "prefix": ENGINE_KEY_PREFIX,
@@ -62,6 +62,6 @@
             "membership": {},
             "peers": [format_address(network.relay.addresses[name]) for name in network.datagrams],
         }
-    if plan.connects:
-        config["startup"] = {"engine_connects": plan.connects}
+    if plan.engine_connects_per_second:
+        config["startup"] = {"engine_connects": plan.engine_connects_per_second}
     return config
--- a/applevale/harness/fleet_engines.py
+++ b/applevale/harness/fleet_engines.py
@@ -1,4 +1,4 @@
-"""The engines of a fleet, and the list of them in the registry."""
+"""The fake engines of a fleet and their records in the registry."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from .registry_process import RegistryProcess
 
 ENGINE_KEY_PREFIX = "applevale/engines/"
-RECENT_SECONDS = 2.0
-RECENT_ARRIVALS = 100
-MAX_DRAINED_MESSAGES = 300  # messages that the registry can send to all instances in a moment
+RECENT_SECONDS = 2.0  # the time over which the load of an engine is counted
+MAX_RECENT_ARRIVALS = 100
+MAX_WATCH_MESSAGES = 300  # watch messages that the fake registry can send to the whole fleet at once
 DRAIN_SECONDS = 1.0
 PAUSE_AFTER_DRAIN_SECONDS = 0.5
 
@@ -28,21 +28,21 @@
 
 
 class FleetEngines:
-    """The engines `e0`... of a fleet.
+    """The fake engines of a fleet, named `e0`...
 
     Attributes:
-        fakes: The engines.
-        addresses: Where instances reach each of them: itself, or a proxy before it.
-        states: The state of each engine as it was last written.
+        fakes: The fake engines, by number.
+        addresses: The address at which instances reach each engine: its own, or that of its proxy.
+        states: The state of each engine that was last written to the registry, by number.
     """
 
     def __init__(self, plan: FleetPlan, registry: RegistryProcess, random: Random):
-        """Prepare the engines of a plan; nothing is started yet.
+        """Prepare the engines without starting them.
 
         Args:
-            plan: What the fleet consists of.
-            registry: Where the engines are listed.
-            random: Draws how long they execute each attempt.
+            plan: The plan of the fleet.
+            registry: The registry that lists the engines.
+            random: Source of the seeds of the engines.
         """
         self.plan = plan
         self.registry = registry
@@ -52,18 +52,18 @@
         self.states: dict[int, State] = {}
 
     async def start(self, expose: Expose) -> None:
-        """Start all engines and list them as ready.
+        """Start all engines and write them to the registry as ready.
 
         Args:
-            expose: Returns where instances reach a server, from its name and its own address.
+            expose: Returns the address at which instances reach a server, given its name and own address.
         """
-        for number in range(self.plan.engines):
+        for number in range(self.plan.engine_count):
             engine = ColdEngine(Random(self.random.random()))
             await engine.start()
             self.fakes.append(engine)
             self.addresses.append(await expose(f"e{number}", engine.address))
-        for number in range(self.plan.engines):
-            if number < self.plan.cold:
+        for number in range(self.plan.engine_count):
+            if number < self.plan.cold_engine_count:
                 self.fakes[number].started_at = time.monotonic()
             await self.set_state(number, State.READY)
 
@@ -73,7 +73,7 @@
             await engine.stop()
 
     async def set_state(self, number: int, state: State) -> None:
-        """Write one engine into the registry; the state `GONE` deletes it."""
+        """Write the record of one engine to the registry; the state `GONE` deletes it."""
         key = f"{ENGINE_KEY_PREFIX}{number}"
         self.states[number] = state
         if state is State.GONE:
@@ -83,7 +83,7 @@
 
     def _record(self, number: int, state: State) -> dict:
         started = 0.0
-        if number < self.plan.cold:
+        if number < self.plan.cold_engine_count:
             started = time.time() - (time.monotonic() - self.fakes[number].started_at)
         return {
             "id": format_instance_id(number + 1),
@@ -95,10 +95,10 @@
         }
 
     async def drain(self, count: int) -> None:
-        """Drain the busiest engines, some at a time, and bring them back; `count` times.
+        """Drain the busiest engines together, then make them ready again; repeat this `count` times.
 
-        They are no more than the fake registry can report to all instances in a moment, as each change is a
-        message to each of them.
+        Each time, that is a tenth of the engines, or fewer: the registry sends each change to each instance,
+        and the number of these messages is limited by `MAX_WATCH_MESSAGES`.
         """
         for _ in range(count):
             busiest = self._busiest()
@@ -114,14 +114,15 @@
 
         def recent_arrivals(number: int) -> int:
             return sum(
-                arrival.received_at >= since for arrival in self.fakes[number].arrivals[-RECENT_ARRIVALS:]
+                arrival.received_at >= since for arrival in self.fakes[number].arrivals[-MAX_RECENT_ARRIVALS:]
             )
 
-        order = sorted(range(self.plan.engines), reverse=True, key=recent_arrivals)
-        return order[: max(1, min(self.plan.engines // 10, MAX_DRAINED_MESSAGES // self.plan.nodes))]
+        order = sorted(range(self.plan.engine_count), reverse=True, key=recent_arrivals)
+        count = min(self.plan.engine_count // 10, MAX_WATCH_MESSAGES // self.plan.instance_count)
+        return order[: max(1, count)]
 
     def digest(self) -> int:
-        """Return the digest of the list as it was written, without use of the application's own digest."""
+        """Return the digest of the engine list in the registry, computed independently of the application."""
         lines = sorted(
             f"{number + 1:08x} {state.value} {self.addresses[number]}"
             for number, state in self.states.items()
--- a/applevale/harness/fleet_links.py
+++ b/applevale/harness/fleet_links.py
@@ -1,4 +1,4 @@
-"""The network of a fleet: the links between its parts, and the proxies that apply faults to them."""
+"""The network of a fleet: the links between its parts, with proxies that apply faults."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class FleetLinks:
-    """The links between instances, engines and the registry.
+    """The links between the instances, engines and registry members of a fleet.
 
     Attributes:
-        conditions: The faults on the links.
-        proxies: The proxies before engines and members of the registry.
-        relay: The proxy that datagrams between instances pass; None without membership.
+        conditions: The active faults on the links.
+        proxies: The TCP proxies of engines and registry members.
+        relay: The proxy that forwards datagrams between instances; None without membership.
     """
 
     def __init__(self, plan: FleetPlan, recorder: HistoryRecorder):
-        """Prepare clear links for a plan; `recorder` records each datagram."""
+        """Create links without faults; `recorder` records each datagram."""
         self.plan = plan
         self.recorder = recorder
         self.conditions = LinkConditions(plan.seed)
@@ -30,8 +30,8 @@
         self.relay: UdpProxy | None = None
 
     async def expose(self, name: str, address: Address) -> Address:
-        """Return where instances reach a server: itself, or a new proxy before it."""
-        if not self.plan.gates:
+        """Return the address at which instances reach a server: its own, or that of a new proxy."""
+        if not self.plan.with_proxies:
             return address
         proxy = TcpProxy(name, address, self.conditions)
         await proxy.start()
@@ -39,15 +39,17 @@
         return proxy.address
 
     def create_network(self, registry_addresses: list[Address]) -> FleetNetwork:
-        """Return where the parts are reached; with membership, start the proxy of its datagrams.
+        """Return the addresses of the fleet; with membership, also start the datagram proxy.
 
         Args:
-            registry_addresses: The members of the registry, as instances reach them.
+            registry_addresses: The addresses at which instances reach the members of the registry.
         """
         port = free_port()
-        if not self.plan.members:
+        if not self.plan.with_membership:
             return FleetNetwork(port, registry_addresses)
-        datagrams = {f"n{number}": (instance_host(number), port) for number in range(self.plan.nodes)}
+        datagrams = {
+            f"n{number}": (instance_host(number), port) for number in range(self.plan.instance_count)
+        }
         self.relay = UdpProxy(list(datagrams), datagrams, self.conditions, self.recorder.record_datagram)
         return FleetNetwork(port, registry_addresses, datagrams, self.relay)
 
--- a/applevale/harness/fleet_plan.py
+++ b/applevale/harness/fleet_plan.py
@@ -1,4 +1,4 @@
-"""Parameters of one run of the fleet harness."""
+"""The parameters of a run of the fleet harness."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """What a fleet consists of and how it is loaded.
+    """The size, configuration and load of a fleet.
 
     Attributes:
-        nodes: Number of instances of the application.
+        instance_count: Number of instances of the application.
         seed: Seed of all random draws of the run.
-        engines: Number of fake engines.
-        capacity: Reads per second that the registry bears.
-        clients: Requests per second to each instance.
-        eager: Whether clients repeat at once what is rejected.
-        cold: Number of engines that start together with the instances.
-        connects: Connections per second to one engine, over the whole fleet; 0 sets no limit.
-        snapshot: Whether instances store the list of engines.
-        schedule: Steps for the scenario that plays a schedule; if empty, they are drawn from the seed.
-        members: Whether membership is on; its datagrams then pass a UDP proxy.
-        gates: Whether TCP proxies stand between instances and servers, for faults on the network.
-        checkout: Folder whose application is run, for a baseline.
-        entry: Another module to run as the application, for planted faults.
-        entry_of: Name of the only instance that runs `entry`; empty for all of them.
+        engine_count: Number of fake engines.
+        registry_reads_per_second: Reads per second that the fake registry can serve.
+        requests_per_second: Client requests per second to each instance; 0 starts no clients.
+        repeat_rejected: Whether clients repeat a rejected request at once.
+        cold_engine_count: Number of engines that start cold, just before the instances.
+        engine_connects_per_second: Limit on the connections per second to one engine, over the whole
+            fleet; 0 sets no limit.
+        store_snapshots: Whether instances store snapshots of the engine list.
+        schedule: Fault steps for the scenario `play_schedule`; empty: they are drawn from the seed.
+        with_membership: Whether instances run the membership protocol; a UDP proxy forwards its datagrams.
+        with_proxies: Whether instances reach engines and registry through TCP proxies, which apply faults.
+        checkout: Folder of another checkout whose application is run, for a baseline.
+        entry_point: Module to run in place of the application, and its arguments, for planted faults.
+        entry_point_instance: Name of the only instance that runs `entry_point`; empty: all run it.
     """
 
-    nodes: int
+    instance_count: int
     seed: int = 1
-    engines: int = 80
-    capacity: float = 600.0
-    clients: float = 2.0
-    eager: bool = False
-    cold: int = 0
-    connects: float = 20.0
-    snapshot: bool = False
+    engine_count: int = 80
+    registry_reads_per_second: float = 600.0
+    requests_per_second: float = 2.0
+    repeat_rejected: bool = False
+    cold_engine_count: int = 0
+    engine_connects_per_second: float = 20.0
+    store_snapshots: bool = False
     schedule: tuple[Step, ...] = ()
-    members: bool = False
-    gates: bool = False
+    with_membership: bool = False
+    with_proxies: bool = False
     checkout: str | None = None
-    entry: tuple[str, ...] = ()
-    entry_of: str = ""
+    entry_point: tuple[str, ...] = ()
+    entry_point_instance: str = ""
--- a/applevale/harness/history_recorder.py
+++ b/applevale/harness/history_recorder.py
@@ -1,4 +1,4 @@
-"""Recording of what happens in a fleet, as a history for the checkers."""
+"""Recording of the events of a fleet as a history for the checkers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class DatagramTotals:
-    """Datagrams that one instance sent within a tenth of a second."""
+    """The datagrams that one instance sent within one time bucket."""
 
     total_bytes: int = 0
     largest_bytes: int = 0
@@ -26,26 +26,32 @@
 
 
 def caller_name(caller: str) -> str:
-    """Return the instance that connects from the address `caller` (IP or IP:PORT), or `other`."""
+    """Return the name of the instance that connects from `caller` (IP or IP:PORT), or `other`."""
     number = source_number(caller.partition(":")[0])
     return "other" if number is None else f"n{number}"
 
 
 class HistoryRecorder:
-    """The events of one run, in the form that the checkers read."""
+    """Records the events of one run in the format of the checkers.
 
-    def __init__(self, stats: Counter):
-        """Count into `stats` the reports that instances left out."""
+    Attributes:
+        events: The recorded events, in the order of their recording.
+        figures: The counters of the run.
+        datagram_totals: The datagrams sent, by sender and number of the time bucket.
+    """
+
+    def __init__(self, figures: Counter):
+        """Create an empty recorder; `figures` counts the reports that instances left out."""
         self.events: list[dict] = []
-        self.stats = stats
-        self.datagrams: dict[tuple[str, int], DatagramTotals] = defaultdict(DatagramTotals)
+        self.figures = figures
+        self.datagram_totals: dict[tuple[str, int], DatagramTotals] = defaultdict(DatagramTotals)
 
     def record(self, event: str, at: float | None = None, **fields: object) -> None:
-        """Record an event, at the monotonic time `at` or now."""
+        """Record an event at the time `at` of the monotonic clock, in seconds; None: now."""
         self.events.append({"at": time.monotonic() if at is None else at, "event": event, **fields})
 
     def record_registry_event(self, event: dict) -> None:
-        """Record what the fake registry reports: reads, commits and sessions."""
+        """Record an event of the fake registry: reads, a commit, or the start or end of a session."""
         match event["event"]:
             case "reads":
                 self._record_reads(event["reads"])
@@ -80,7 +86,7 @@
         )
 
     def record_instance_event(self, instance: FleetInstance, event: dict) -> None:
-        """Record what an instance reports, and take over its state."""
+        """Record an event of an instance, and update the instance's reported state."""
         match event["event"]:
             case "promise":
                 self.record("said", event.get("at"), who=instance.name, text=event.get("text", ""))
@@ -93,8 +99,8 @@
         name = event["event"]
         reported = {key: event[key] for key in ("changes", "stand") if key in event}
         if name == "members":
-            if "view" not in event:  # a rate-limited log: this stands for reports that were left out
-                self.stats["turns_left_out"] += 1
+            if "view" not in event:  # the rate limit of the log suppressed the reports themselves
+                self.figures["turns_left_out"] += 1
                 return
             reported["view"] = [f"n{number}" for number, _ in event["view"]]
             name = "held"
@@ -103,22 +109,22 @@
 
     def _record_readiness(self, instance: FleetInstance, event: dict) -> None:
         reported = {key: event[key] for key in ("ready", "confirmed") if key in event}
-        if event["event"] != "listening" and not reported:  # stands for reports that were left out
-            self.stats["turns_left_out"] += 1
+        if event["event"] != "listening" and not reported:  # the rate limit suppressed the reports
+            self.figures["turns_left_out"] += 1
             return
         self.record(event["event"], event.get("at"), who=instance.name, **reported)
         instance.is_ready = reported.get("ready", instance.is_ready)
         instance.is_confirmed = reported.get("confirmed", instance.is_confirmed)
 
     def record_datagram(self, source: str, target: str, size: int) -> None:
-        """Count a datagram of `size` bytes from the instance `source`."""
-        totals = self.datagrams[source, int(time.monotonic() * DATAGRAM_BUCKETS_PER_SECOND)]
+        """Count a datagram of `size` bytes that the instance `source` sent."""
+        totals = self.datagram_totals[source, int(time.monotonic() * DATAGRAM_BUCKETS_PER_SECOND)]
         totals.total_bytes += size
         totals.largest_bytes = max(totals.largest_bytes, size)
         totals.count += 1
 
     def open_sessions(self) -> set[str]:
-        """Return the connections (IP:PORT) that members of the registry serve, as it reports."""
+        """Return the client addresses (IP:PORT) of all open connections to the registry."""
         callers: set[str] = set()
         for event in self.events:
             if event["event"] == "session":
@@ -128,7 +134,11 @@
         return callers
 
     def history(self, engines: Iterable[tuple[ColdEngine, str]]) -> History:
-        """Return the history, with what each engine (and its IP:PORT) saw, in the order of times."""
+        """Return the history, with the events that the engines recorded.
+
+        Args:
+            engines: Each engine with the address (IP:PORT) at which instances reach it.
+        """
         events = list(self.events)
         for engine, address in engines:
             events += _engine_events(engine, address)
@@ -141,13 +151,13 @@
                 "most": totals.largest_bytes,
                 "count": totals.count,
             }
-            for (name, bucket), totals in self.datagrams.items()
+            for (name, bucket), totals in self.datagram_totals.items()
         ]
         return History(events)
 
 
 def _engine_events(engine: ColdEngine, address: str) -> list[dict]:
-    """Return the connections, the requests and the overload that one engine saw."""
+    """Return the connections, attempts and failure by overload that one engine recorded."""
     events: list[dict] = [
         {
             "at": connection.accepted_at,
--- a/applevale/harness/log_events.py
+++ b/applevale/harness/log_events.py
@@ -6,10 +6,10 @@
 
 
 def parse_event(line: str) -> dict:
-    """Return a log line of the application as an event.
+    """Return the event that a log line reports, with its kind under the key `event`.
 
-    Lines of versions that log plain text only are understood too. A line of no known form becomes an event
-    of kind `line`.
+    Besides JSON lines, the plain-text lines of earlier versions are supported. A line in no known format
+    becomes an event of kind `line`.
     """
     if line.startswith("{"):
         try:
@@ -18,8 +18,8 @@
             return {"event": "line", "text": line}
     if line.startswith("counters "):
         return {"event": "counters", "counts": json.loads(line.removeprefix("counters "))}
-    name, _, place = line.partition(" listens on ")
-    host, _, port = place.rpartition(":")
+    name, _, address = line.partition(" listens on ")
+    host, _, port = address.rpartition(":")
     if name and port.isdecimal():
         return {"event": "listening", "host": host, "port": int(port)}
     for text, confirmed in (("registry: confirmed", True), ("registry: the list is not confirmed", False)):
--- a/applevale/harness/registry_process.py
+++ b/applevale/harness/registry_process.py
@@ -9,14 +9,18 @@
 
 ORDER_TIMEOUT_SECONDS = 30.0
 STOP_TIMEOUT_SECONDS = 5.0
-MAX_EVENT_BYTES = 1 << 24
+MAX_EVENT_BYTES = 1 << 24  # longest line that the process may write
 
 
 class RegistryProcess:
-    """The process of the fake registry: orders to it, and the events that it reports."""
+    """The process of the fake registry, which takes orders and reports events.
+
+    Attributes:
+        addresses: The addresses of its members, once it has started.
+    """
 
     def __init__(self, on_event: Callable[[dict], None]):
-        """Report each event of the registry to `on_event`."""
+        """Prepare the process without starting it; `on_event` is called with each event."""
         self.on_event = on_event
         self.process: asyncio.subprocess.Process | None = None
         self.replies: asyncio.Queue[dict] = asyncio.Queue()
@@ -24,7 +28,7 @@
         self.reader_task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Start the process and return once its members serve on `addresses`."""
+        """Start the process and return once all its members serve."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -46,17 +50,21 @@
                 self.on_event(event)
 
     async def order(self, order: str, **values: object) -> None:
-        """Send an order and return once it is carried out.
+        """Send an order and return once it has been executed.
+
+        Args:
+            order: The name of the order.
+            values: The parameters of the order.
 
         Raises:
-            TimeoutError: It was not carried out within 30 s.
+            TimeoutError: It was not executed within `ORDER_TIMEOUT_SECONDS`.
         """
         self.process.stdin.write(json.dumps({"order": order, **values}).encode() + b"\n")
         async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             await self.replies.get()
 
     async def stop(self) -> None:
-        """End the process, by force if it does not end by itself."""
+        """End the process by closing its input; kill it if it does not end within `STOP_TIMEOUT_SECONDS`."""
         if self.process is None:
             return
         if self.process.returncode is None:
--- a/applevale/harness/request_rules.py
+++ b/applevale/harness/request_rules.py
@@ -1,4 +1,4 @@
-"""Check of what the clients and engines of one run saw against the rules on requests."""
+"""Checks of the requests of a run: none lost, answered twice, executed twice or out of order."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 def count_violations(
     clients: ClientPool, engines: Iterable[FakeEngine], overlap: tuple[float, float] = NO_OVERLAP
 ) -> Counter:
-    """Return how often each rule on requests was violated in a run.
+    """Return how often each request rule was violated in a run.
 
     Args:
-        clients: The clients of the run, with all that they sent.
-        engines: The engines that may have executed their requests.
-        overlap: Start and end, by the event loop's clock, of the time in which two processes shared the
-            clients. Each process keeps the order of what it accepted itself, and none is guaranteed across
-            the two: requests sent in this time are not compared, and those sent after it are compared
-            with each other only.
+        clients: The clients of the run, with all requests that they sent.
+        engines: All engines that may have executed these requests.
+        overlap: Start and end, by the event loop's clock, of the period in which two processes served the
+            clients. Order is guaranteed among the requests that one process accepted, but not across
+            processes. So requests sent in this period are not compared, and requests sent after it are
+            compared only with each other.
     """
     loads = _load_arrivals(engines)
     answers = clients.stats()
@@ -37,7 +37,7 @@
 
 
 def _load_arrivals(engines: Iterable[FakeEngine]) -> dict[str, list[float]]:
-    """Return the arrival times of each `load` by the id of its request."""
+    """Return the times at which engines received each load, by request id."""
     loads: dict[str, list[float]] = defaultdict(list)
     for engine in engines:
         for arrival in engine.arrivals:
@@ -49,7 +49,7 @@
 def _count_order_violations(
     clients: ClientPool, loads: dict[str, list[float]], overlap: tuple[float, float]
 ) -> int:
-    """Return how many loads reached an engine before one of the same key that was sent earlier."""
+    """Return how many loads reached an engine before an earlier one of the same order key."""
     overlap_start, overlap_end = overlap
     arrivals_by_key: dict[tuple[int, bool], list[float]] = defaultdict(list)
     for sent in clients.sent:
--- a/applevale/harness/resource_usage.py
+++ b/applevale/harness/resource_usage.py
@@ -14,50 +14,60 @@
     "applevale.discovery.registry.etcd, structlog; print(time.monotonic())"
 )
 BYTES_PER_MEBIBYTE = 2**20
+# Indexes of fields in /proc/PID/stat, counted behind the name of the command.
+USER_TIME_FIELD = 11
+SYSTEM_TIME_FIELD = 12
+RESIDENT_PAGES_FIELD = 21
 
 
 @dataclass(frozen=True)
 class ProcessUsage:
-    """Processor time in seconds and resident memory in bytes."""
+    """The processor time in seconds and the resident memory in bytes that one or more processes use."""
 
     cpu_seconds: float
     memory_bytes: float
 
 
 def read_usage(process_id: int) -> ProcessUsage:
-    """Return what a process has used so far."""
+    """Return the processor time that a process has used so far, and its present memory."""
     with open(f"/proc/{process_id}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
-    ticks = int(fields[11]) + int(fields[12])
+    ticks = int(fields[USER_TIME_FIELD]) + int(fields[SYSTEM_TIME_FIELD])
     return ProcessUsage(
         cpu_seconds=ticks / os.sysconf("SC_CLK_TCK"),
-        memory_bytes=int(fields[21]) * os.sysconf("SC_PAGE_SIZE"),
+        memory_bytes=int(fields[RESIDENT_PAGES_FIELD]) * os.sysconf("SC_PAGE_SIZE"),
     )
 
 
 class UsageMeter:
-    """Usage of all instances, of the harness itself and of the registry, from creation to `finish`."""
+    """Measures the usage of instances, harness and registry from its creation until `finish`."""
 
     def __init__(self, instance_ids: Sequence[int], registry_id: int):
-        """Start to measure the processes with these ids."""
+        """Start the measurement.
+
+        Args:
+            instance_ids: The process ids of the instances.
+            registry_id: The process id of the registry.
+        """
         self.instance_ids = instance_ids
         self.registry_id = registry_id
         self.started_at = time.monotonic()
-        self.instances_before = self._instances()
+        self.instances_before = self._instances_usage()
         self.harness_before = sum(os.times()[:2])
         self.registry_before = read_usage(registry_id).cpu_seconds
 
     def finish(self, instance_ids: Sequence[int]) -> dict[str, float]:
-        """Return the figures: CPU ms per second and MiB per instance, cores of harness and registry.
+        """Return CPU ms per second and MiB per instance, and the cores used by harness and registry.
 
-        A harness or a registry that has no processor time left distorts all figures of a run.
+        The last two show whether the run is valid: a harness or registry that lacks processor time distorts
+        all its figures.
 
         Args:
-            instance_ids: The processes of the instances by now.
+            instance_ids: The process ids of the instances now, which may have been restarted.
         """
         self.instance_ids = instance_ids
         duration = time.monotonic() - self.started_at
-        instances = self._instances()
+        instances = self._instances_usage()
         cpu_seconds = instances.cpu_seconds - self.instances_before.cpu_seconds
         count = len(instance_ids)
         harness = sum(os.times()[:2]) - self.harness_before
@@ -69,18 +79,18 @@
             "service_cores": round(registry / duration, 2),
         }
 
-    def _instances(self) -> ProcessUsage:
-        each = [read_usage(process_id) for process_id in self.instance_ids]
+    def _instances_usage(self) -> ProcessUsage:
+        usages = [read_usage(process_id) for process_id in self.instance_ids]
         return ProcessUsage(
-            cpu_seconds=sum(usage.cpu_seconds for usage in each),
-            memory_bytes=sum(usage.memory_bytes for usage in each),
+            cpu_seconds=sum(usage.cpu_seconds for usage in usages),
+            memory_bytes=sum(usage.memory_bytes for usage in usages),
         )
 
 
 async def measure_imports(process_count: int, checkout: str | None) -> list[float]:
-    """Return the seconds that processes which only import the application take, all started at once.
+    """Start processes that only import the application, all at once; return how long each took, in seconds.
 
-    This is the machine's own part of the start of a fleet.
+    This is the part of a fleet's start that depends on the machine alone.
     """
     started_at = time.monotonic()
     processes = [
--- a/applevale/harness/scenarios/__init__.py
+++ b/applevale/harness/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""The cases of the fleet harness: what happens, and what may come of it at the most."""
+"""The cases of the fleet harness: scenarios, and limits on the figures of their runs."""
--- a/applevale/harness/scenarios/cases.py
+++ b/applevale/harness/scenarios/cases.py
@@ -1,4 +1,4 @@
-"""The cases of the fleet harness: a scenario each, and the most that each figure may be."""
+"""The cases of the fleet harness, each a scenario with limits on the figures of its run."""
 
 from __future__ import annotations
 
@@ -7,125 +7,141 @@
 
 from ...fault_injection.scenarios import SCENARIOS
 from ..fleet import Fleet
-from .instance_plays import (
-    cold_push,
-    cold_site,
+from .instance_scenarios import (
+    cold_site_start,
     crash_loop,
-    cut_third,
-    eager,
-    engines_cut,
-    membership_play,
-    rolling,
-    schedule,
-    snapshots,
+    cut_off_third,
+    engine_network_outage,
+    membership_scenario,
+    overload_cold_engines,
+    play_schedule,
+    repeat_rejected_requests,
+    restart_from_snapshots,
+    rolling_restart,
 )
-from .registry_plays import (
-    away,
-    coldstart,
-    late_service,
-    restart,
-    restore,
-    scarce,
-    slow_member,
+from .registry_scenarios import (
+    cold_start,
+    late_registry,
+    long_registry_outage,
+    restart_registry,
+    restore_registry,
+    scarce_registry_reads,
     slow_registry,
+    slow_registry_member,
 )
 
-Play = Callable[[Fleet], Awaitable[None]]
+Scenario = Callable[[Fleet], Awaitable[None]]
 
 MAX_SESSIONS_PER_INSTANCE = 1.05
-MAX_CONNECTS_PER_ENGINE = 20  # within any second
+MAX_FULL_READS_PER_INSTANCE_WITH_SNAPSHOT = 1.02
+MAX_LIST_READS_PER_INSTANCE_PER_SECOND = 5
+MAX_CONNECTS_PER_ENGINE_PER_SECOND = 20
 
 
-def _no_limits(figures: dict, nodes: int) -> dict[str, float]:
+def _no_limits(figures: dict, instance_count: int) -> dict[str, float]:
     return {}
 
 
 @dataclass(frozen=True)
 class Case:
-    """A scenario and its limits.
+    """A scenario with the limits on its figures.
 
     Attributes:
-        play: What happens.
-        limits: Returns the greatest value that each limited figure may have, from all figures and the number
-            of instances.
-        plan: The fields of the plan that differ from the usual.
+        scenario: Drives a started fleet whose instances have not been launched.
+        limits: Returns the greatest permitted values by figure, given all figures and the number of
+            instances.
+        plan: The fields of the fleet plan that the case sets.
     """
 
-    play: Play
+    scenario: Scenario
     limits: Callable[[dict, int], dict[str, float]] = _no_limits
     plan: dict = field(default_factory=dict)
 
 
-def _coldstart_limits(figures: dict, nodes: int) -> dict[str, float]:
+def _cold_start_limits(figures: dict, instance_count: int) -> dict[str, float]:
     return {
-        "sessions": MAX_SESSIONS_PER_INSTANCE * nodes,
-        "sessions_after_break": MAX_SESSIONS_PER_INSTANCE * nodes,
+        "sessions": MAX_SESSIONS_PER_INSTANCE * instance_count,
+        "sessions_after_break": MAX_SESSIONS_PER_INSTANCE * instance_count,
         "full_reads_most": 1,
-        "list_reads_s_steady": 5 * nodes,
+        "list_reads_s_steady": MAX_LIST_READS_PER_INSTANCE_PER_SECOND * instance_count,
         "unconfirmed_at_rest": 0,
         "reads_after_break": figures.get("list_reads_s_steady", 0),
-        "connects_per_engine_s_max": MAX_CONNECTS_PER_ENGINE,
+        "connects_per_engine_s_max": MAX_CONNECTS_PER_ENGINE_PER_SECOND,
     }
 
 
-def _calm_limits(figures: dict, nodes: int) -> dict[str, float]:
-    return {"unconfirmed_at_rest": 0, "full_reads_most": 1, "sessions": MAX_SESSIONS_PER_INSTANCE * nodes}
+def _common_limits(figures: dict, instance_count: int) -> dict[str, float]:
+    return {
+        "unconfirmed_at_rest": 0,
+        "full_reads_most": 1,
+        "sessions": MAX_SESSIONS_PER_INSTANCE * instance_count,
+    }
+
 
+def _slow_limits(figures: dict, instance_count: int) -> dict[str, float]:
+    return _common_limits(figures, instance_count) | {"sessions_left": 0}
 
-def _slow_limits(figures: dict, nodes: int) -> dict[str, float]:
-    return _calm_limits(figures, nodes) | {"sessions_left": 0}
+
+def _snapshot_limits(figures: dict, instance_count: int) -> dict[str, float]:
+    return {
+        "unconfirmed_at_rest": 0,
+        "full_reads": MAX_FULL_READS_PER_INSTANCE_WITH_SNAPSHOT * instance_count,
+        "full_reads_most": 1,
+    }
 
 
-def _rest_limits(figures: dict, nodes: int) -> dict[str, float]:
+def _rest_limits(figures: dict, instance_count: int) -> dict[str, float]:
     return {"unconfirmed_at_rest": 0}
 
 
-def _connect_limits(figures: dict, nodes: int) -> dict[str, float]:
-    return {"connects_per_engine_s_max": MAX_CONNECTS_PER_ENGINE}
+def _connect_limits(figures: dict, instance_count: int) -> dict[str, float]:
+    return {"connects_per_engine_s_max": MAX_CONNECTS_PER_ENGINE_PER_SECOND}
 
 
-def _outage_limits(figures: dict, nodes: int) -> dict[str, float]:
-    return _calm_limits(figures, nodes) | {
-        "sessions_after_break": MAX_SESSIONS_PER_INSTANCE * nodes,
+def _outage_limits(figures: dict, instance_count: int) -> dict[str, float]:
+    return _common_limits(figures, instance_count) | {
+        "sessions_after_break": MAX_SESSIONS_PER_INSTANCE * instance_count,
         "reads_after_break": figures.get("list_reads_s_steady", 0),
     }
 
 
 CASES: dict[str, Case] = {
-    "coldstart": Case(coldstart, _coldstart_limits),
+    "coldstart": Case(cold_start, _cold_start_limits),
     "late-service": Case(
-        late_service, lambda figures, nodes: {"unconfirmed_at_rest": 0, "full_reads_most": 1}
+        late_registry, lambda figures, instance_count: {"unconfirmed_at_rest": 0, "full_reads_most": 1}
     ),
-    "restart": Case(restart, _calm_limits),
-    "scarce": Case(scarce, lambda figures, nodes: {"full_reads_most": 1}),
+    "restart": Case(restart_registry, _common_limits),
+    "scarce": Case(scarce_registry_reads, lambda figures, instance_count: {"full_reads_most": 1}),
     "slow-200": Case(slow_registry(0.2), _slow_limits),
     "slow-400": Case(slow_registry(0.4), _slow_limits),
-    "slow-member": Case(slow_member, _calm_limits),
-    "restore": Case(restore, _rest_limits),
-    "cut-third": Case(cut_third, _calm_limits, {"gates": True}),
-    "crash-loop": Case(crash_loop, _calm_limits),
-    "rolling": Case(rolling, _calm_limits),
+    "slow-member": Case(slow_registry_member, _common_limits),
+    "restore": Case(restore_registry, _rest_limits),
+    "cut-third": Case(cut_off_third, _common_limits, {"with_proxies": True}),
+    "crash-loop": Case(crash_loop, _common_limits),
+    "rolling": Case(rolling_restart, _common_limits),
     "cold-site": Case(
-        cold_site,
+        cold_site_start,
         _connect_limits,
-        {"engines": 30, "cold": 30, "clients": 4.0},
+        {"engine_count": 30, "cold_engine_count": 30, "requests_per_second": 4.0},
     ),
     "cold-push": Case(
-        cold_push, lambda figures, nodes: {"pushed_most": 1}, {"engines": 6, "cold": 6, "clients": 10.0}
+        overload_cold_engines,
+        lambda figures, instance_count: {"pushed_most": 1},
+        {"engine_count": 6, "cold_engine_count": 6, "requests_per_second": 10.0},
     ),
-    "eager": Case(eager, _rest_limits, {"eager": True}),
-    "away": Case(away, _outage_limits),
+    "eager": Case(repeat_rejected_requests, _rest_limits, {"repeat_rejected": True}),
+    "away": Case(long_registry_outage, _outage_limits),
     "snapshots": Case(
-        snapshots,
-        lambda figures, nodes: {"unconfirmed_at_rest": 0, "full_reads": 1.02 * nodes, "full_reads_most": 1},
-        {"snapshot": True},
+        restart_from_snapshots,
+        _snapshot_limits,
+        {"store_snapshots": True},
     ),
-    "schedule": Case(schedule, _no_limits, {"gates": True}),
-    "engines-cut": Case(engines_cut, _connect_limits, {"gates": True}),
+    "schedule": Case(play_schedule, _no_limits, {"with_proxies": True}),
+    "engines-cut": Case(engine_network_outage, _connect_limits, {"with_proxies": True}),
 }
 
-MEMBERSHIP_PLAN = {"members": True, "clients": 1.0}
+MEMBERSHIP_PLAN = {"with_membership": True, "requests_per_second": 1.0}
 CASES |= {
-    name if name == "membership" else f"members-{name}": Case(membership_play(name), plan=MEMBERSHIP_PLAN)
+    name if name == "membership" else f"members-{name}": Case(membership_scenario(name), plan=MEMBERSHIP_PLAN)
     for name in SCENARIOS
 }
--- a/applevale/harness/scenarios/runner.py
+++ b/applevale/harness/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""One run of a case of the fleet harness, and its figures."""
+"""Runner of the cases of the fleet harness, with the figures of a run."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from ..fleet import Fleet
 from ..fleet_plan import FleetPlan
 from .cases import CASES, Case
-from .registry_plays import coldstart
+from .registry_scenarios import cold_start
 
-MAX_READY_DELAY_SECONDS = 2.0  # that the last ones are ready behind processes that only import the program
+MAX_READY_DELAY_SECONDS = 2.0  # of the p99 of starts beyond that of imports alone
 REGISTRY_COUNTERS = ("stalls", "trials", "slow_for_all", "declined", "given_up", "stale", "breaks")
 REQUEST_FIGURES = (
     *coldstart_checker.REQUEST_RULES,
@@ -26,12 +26,15 @@
 
 
 async def run(plan: FleetPlan, case_name: str, history_path: str = "") -> dict:
-    """Play a case; return its figures, with `ok` and what was `broken`.
+    """Run a case and return its result.
 
     Args:
-        plan: The plan, but for what the case itself says.
-        case_name: The case, by its name in `CASES`.
-        history_path: Where to write the history; empty: nowhere.
+        plan: The plan of the fleet; the fields that the case sets are replaced.
+        case_name: Name of the case in `CASES`.
+        history_path: File to which the history is written; empty: none.
+
+    Returns:
+        The figures, with `ok` and the list of violated limits under `broken`.
     """
     case = CASES[case_name]
     fleet = Fleet(replace(plan, **case.plan))
@@ -41,15 +44,16 @@
         await fleet.stop()
     figures = _figures(fleet, fleet.history(), counters, case)
     if history_path:
-        fleet.history().write(history_path)  # with the requests that were lost
+        # The history now includes the lost requests, which the figures have recorded.
+        fleet.history().write(history_path)
     return {"rig": "fleet", "case": case_name, **figures}
 
 
 async def _play(fleet: Fleet, case: Case) -> dict[str, int]:
-    """Play the case to its end; return the sums of the counters of all instances that run."""
+    """Run the scenario to its end; return the registry counters, summed over all running instances."""
     await fleet.measure_imports()
     await fleet.start()
-    await case.play(fleet)
+    await case.scenario(fleet)
     await fleet.clients.settle()
     dumps = await asyncio.gather(
         *(
@@ -62,17 +66,17 @@
 
 
 def _figures(fleet: Fleet, history: History, counters: dict[str, int], case: Case) -> dict:
-    nodes = fleet.plan.nodes
+    nodes = fleet.plan.instance_count
     figures = coldstart_checker.figures(history, nodes) | counters | _fleet_figures(fleet)
     broken = coldstart_checker.broken(figures, nodes, case.limits(figures, nodes))
-    if fleet.plan.members:
-        among_members = membership_checker.figures(history)
-        broken += membership_checker.broken(among_members, {})
-        figures |= among_members | {"datagrams": dict(fleet.links.relay.stats)}
+    if fleet.plan.with_membership:
+        membership_figures = membership_checker.figures(history)
+        broken += membership_checker.broken(membership_figures, {})
+        figures |= membership_figures | {"datagrams": dict(fleet.links.relay.stats)}
     if fleet.figures["bad_exits"]:
-        broken.append(f"exits with another code than 0: {fleet.figures['bad_exits']}")
-    if case.play is coldstart:
-        broken += _late_starts(figures)
+        broken.append(f"bad_exits: {fleet.figures['bad_exits']} processes exited with a code other than 0")
+    if case.scenario is cold_start:
+        broken += _late_start_messages(figures)
     return {
         "ok": not broken,
         "broken": broken,
@@ -84,7 +88,7 @@
 
 
 def _fleet_figures(fleet: Fleet) -> dict:
-    """Return what the fleet itself counted and measured."""
+    """Return the figures that the fleet itself counted and measured."""
     violations = fleet.violations()
     import_shares = {"p50": 0.5, "p99": 0.99, "max": 1.0}
     return {
@@ -92,19 +96,20 @@
         "wrong_lists": fleet.figures["wrong_lists"],
         "pushed_most": round(max(engine.peak_overload for engine in fleet.engines.fakes), 2),
         "import_s": {
-            name: round(quantile(fleet.import_s, share), 2) for name, share in import_shares.items()
+            name: round(quantile(fleet.import_seconds, share), 2) for name, share in import_shares.items()
         },
-        "idle": fleet.idle,
+        "idle": fleet.idle_usage,
         "turns_left_out": fleet.figures["turns_left_out"],
     }
 
 
-def _late_starts(figures: dict) -> list[str]:
+def _late_start_messages(figures: dict) -> list[str]:
     ready = figures["ready_s"]["p99"]
     imports = figures["import_s"]["p99"]
     if ready <= imports + MAX_READY_DELAY_SECONDS:
         return []
-    return [f"ready_s: p99 {ready}, imports {imports}"]
+    limit = round(imports + MAX_READY_DELAY_SECONDS, 2)
+    return [f"ready_s: p99 is {ready} s, the limit is {limit:g} s; the p99 of imports is {imports} s"]
 
 
 def _fault_counts(fleet: Fleet) -> dict[str, int]:
--- a/tests/test_members_fleet.py
+++ b/tests/test_members_fleet.py
@@ -26,13 +26,19 @@
     """Run a script on a fleet whose members have all joined; return its figures and its history."""
 
     async def run():
-        fleet = Fleet(FleetPlan(**({"nodes": 6, "engines": 4, "clients": 2.0, "members": True} | plan)))
+        defaults = {
+            "instance_count": 6,
+            "engine_count": 4,
+            "requests_per_second": 2.0,
+            "with_membership": True,
+        }
+        fleet = Fleet(FleetPlan(**(defaults | plan)))
         try:
             async with asyncio.timeout(90):
                 await fleet.start()
                 await fleet.launch_all()
-                assert await fleet.all_ready(30)
-                assert await fleet.until(
+                assert await fleet.wait_until_ready(30)
+                assert await fleet.wait_until(
                     lambda: all(instance.member_status == "well" for instance in fleet.instances), 20
                 )
                 await asyncio.sleep(1.0)
@@ -67,10 +73,10 @@
     """A kill, a pause, an orderly restart, an upgrade, and a kill with a quick restart."""
     other_count = len(fleet.instances) - 1
     await fleet.play([KillProcess(at=0, processes=["n1"])])
-    assert await fleet.until(lambda: count_removals(fleet, "n1") == other_count, 20)
+    assert await fleet.wait_until(lambda: count_removals(fleet, "n1") == other_count, 20)
     await fleet.play([PauseProcess(at=0, processes=["n2"], duration=1.5)])
     await fleet.play([TerminateProcess(at=0, processes=["n3"], restart_after=0.1)])
-    assert await fleet.until(
+    assert await fleet.wait_until(
         lambda: fleet.instances[3].member_status == "well" and not count_removals(fleet, "n3"), 20
     )
     await fleet.play(
@@ -79,7 +85,7 @@
             KillProcess(at=0.5, processes=["n5"], restart_after=0.1),
         ]
     )
-    assert await fleet.until(
+    assert await fleet.wait_until(
         lambda: all(
             instance.member_status == "well" for instance in fleet.instances if instance.name != "n1"
         ),
@@ -125,9 +131,9 @@
 async def back(fleet):
     other_count = len(fleet.instances) - 1
     await fleet.play([KillProcess(at=0, processes=["n1"])])
-    await fleet.until(lambda: count_removals(fleet, "n1") == other_count, 10)
+    await fleet.wait_until(lambda: count_removals(fleet, "n1") == other_count, 10)
     await fleet.launch(fleet.instances[1])
-    assert await fleet.until(lambda: fleet.instances[1].member_status == "well", 20)
+    assert await fleet.wait_until(lambda: fleet.instances[1].member_status == "well", 20)
     await asyncio.sleep(4.0)
 
 
@@ -164,18 +170,20 @@
 
 @pytest.mark.parametrize("fault,script,figure", DETECTED_FAULTS, ids=[case[0] for case in DETECTED_FAULTS])
 def test_a_planted_fault_is_detected_in_the_history(fault, script, figure):
-    figures, _ = run_scenario(script, clients=0.0, entry=("tests.planted", fault))
+    figures, _ = run_scenario(script, requests_per_second=0.0, entry_point=("tests.planted", fault))
     assert figures[figure] > 0
 
 
 @pytest.mark.parametrize("script", [waves, halves], ids=["waves", "halves"])
 def test_without_a_planted_fault_the_same_scenarios_keep_all_guarantees(script):
-    figures, _ = run_scenario(script, clients=0.0)
+    figures, _ = run_scenario(script, requests_per_second=0.0)
     assert membership_checker.broken(figures, {}) == []
 
 
 def test_an_instance_that_declares_all_others_dead_does_not_change_their_views():
-    figures, history = run_scenario(calm, clients=0.0, entry=("tests.planted", "liar"), entry_of="n0")
+    figures, history = run_scenario(
+        calm, requests_per_second=0.0, entry_point=("tests.planted", "liar"), entry_point_instance="n0"
+    )
     assert membership_checker.broken(figures, {}) == []
     assert sum(1 for _ in history.select("view", since=history.mark_time("joined"))) == 0
 
