--- a/applevale/harness/ops/admin_client.py
+++ b/applevale/harness/ops/admin_client.py
@@ -11,7 +11,7 @@
 
 
 async def call(address: str, method: str, path: str, body: dict | None = None) -> tuple[int, dict]:
-    """Return status and body of an admin call; (0, {}) if it could not be made."""
+    """Call the admin API; return status and JSON body, or (0, {}) if no response arrived in time."""
     host, _, port = address.rpartition(":")
     data = b"" if body is None else json.dumps(body).encode()
     try:
@@ -27,10 +27,10 @@
     return int(head.split()[1]), json.loads(rest or b"{}")
 
 
-async def until_ready(address: str, within: float) -> bool:
-    """Return whether the process with this admin address becomes ready within so many seconds."""
+async def wait_until_ready(address: str, timeout: float) -> bool:
+    """Wait until a process is ready, for `timeout` seconds at most; return whether it is."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + within
+    end = loop.time() + timeout
     while loop.time() < end:
         status, _ = await call(address, "GET", "/ready")
         if status == HTTPStatus.OK:
--- a/applevale/harness/ops/environment.py
+++ b/applevale/harness/ops/environment.py
@@ -1,4 +1,4 @@
-"""What one run of the operations harness consists of: two processes on one address, engines and clients."""
+"""The parts of a run of the operations harness: two processes on one address, engines and clients."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 ENGINE_COUNT = 3
 REQUESTS_PER_SECOND = 60.0
-CLIENT_RUN_SECONDS = 3600  # the clients are cancelled long before
+CLIENT_RUN_SECONDS = 3600  # longer than any run; `end_requests` cancels the clients
 
 
-def engine_list(engines: list[FakeEngine]) -> dict:
-    """Return the setting `known` that lists these engines."""
+def engine_list_setting(engines: list[FakeEngine]) -> dict:
+    """Return the value of the setting `known` that lists these engines."""
     instances = [
         {
             "instanceId": format_instance_id(number),
@@ -37,65 +37,65 @@
 
 
 class OperationsEnvironment:
-    """Two processes of the application that share the clients' address and $TMPDIR.
+    """Two processes of the application that share a client address and $TMPDIR, with engines and clients.
 
     Attributes:
-        engines: The engines that both list.
+        engines: The engines that both processes know.
         first_admin: The admin address of the first process.
         second_admin: The admin address of the second process.
-        first: The process that runs from the start.
-        second: The process that takes over from it.
-        clients: The clients, once they have started.
+        first_process: The process that runs first; None before `start_engines`.
+        second_process: The process that replaces it; None before `start_engines`.
+        clients: The clients; None until they have started.
     """
 
     def __init__(self, random: Random):
-        """Prepare all parts, with all draws from `random`; nothing is started yet."""
+        """Prepare all parts without starting them; `random` is the source of all random draws."""
         self.random = random
         self.engines = [FakeEngine(Random(random.random())) for _ in range(ENGINE_COUNT)]
         self.folder = tempfile.TemporaryDirectory(prefix="applevale-ops-")
         self.listen_address = free_address()
         self.first_admin = free_address()
         self.second_admin = free_address()
-        self.first: ManagedProcess | None = None
-        self.second: ManagedProcess | None = None
+        self.first_process: ManagedProcess | None = None
+        self.second_process: ManagedProcess | None = None
         self.clients: ClientPool | None = None
         self.client_task: asyncio.Task | None = None
 
     async def start_engines(self) -> None:
-        """Start the engines, and prepare both processes to use them."""
+        """Start the engines, and prepare both processes without starting them."""
         for engine in self.engines:
             await engine.start()
-        self.first = self._create_process("ops-1", self.first_admin)
-        self.second = self._create_process("ops-2", self.second_admin)
+        self.first_process = self._create_process("ops-1", self.first_admin)
+        self.second_process = self._create_process("ops-2", self.second_admin)
 
     def _create_process(self, name: str, admin_address: str) -> ManagedProcess:
         config = {
-            "known": engine_list(self.engines),
+            "known": engine_list_setting(self.engines),
             "listen": self.listen_address,
             "control": admin_address,
         }
         return ManagedProcess(config, name)
 
     async def start_process(self, process: ManagedProcess) -> None:
-        """Start one of the processes; return once it listens."""
+        """Start one of the processes and return once it listens."""
         await process.start(env={"TMPDIR": self.folder.name})
 
     async def start_clients(self) -> None:
-        """Start the clients, which come back when their connections are closed."""
+        """Start the clients, which reconnect when their connections are closed."""
         profile = ClientProfile(REQUESTS_PER_SECOND, reconnect=True)
-        self.clients = ClientPool(self.first.address, Random(self.random.random()), profile)
+        self.clients = ClientPool(self.first_process.address, Random(self.random.random()), profile)
         await self.clients.start()
         end = asyncio.get_running_loop().time() + CLIENT_RUN_SECONDS
         self.client_task = asyncio.create_task(self.clients.run(end))
 
     async def end_requests(self) -> None:
-        """Let the clients send nothing more, and wait for the answers."""
+        """Stop sending requests, and wait for the answers to open requests."""
         self.client_task.cancel()
         await self.clients.settle()
 
     async def stop(self) -> None:
-        """End all that was started, also after a failure."""
-        for process in (self.first, self.second):
+        """Stop everything that was started, also after a failure."""
+        for process in (self.first_process, self.second_process):
             if process is not None:
                 await process.kill()
         for engine in self.engines:
--- a/applevale/harness/ops/runner.py
+++ b/applevale/harness/ops/runner.py
@@ -1,4 +1,4 @@
-"""One run of the operations harness."""
+"""Runner of the operations harness."""
 
 from __future__ import annotations
 
@@ -12,14 +12,22 @@
 
 
 async def run(seed: int, seconds: float) -> dict:
-    """Run the script for about `seconds`; return the figures, with `ok` and the checks that are `broken`."""
+    """Run the script once, and return its result.
+
+    Args:
+        seed: Seed of all random draws.
+        seconds: Approximate duration of the run.
+
+    Returns:
+        The figures, with `ok` and the names of the failed checks under `broken`.
+    """
     phase_seconds = max(seconds / PHASE_COUNT, MIN_PHASE_SECONDS)
     environment = OperationsEnvironment(Random(seed))
     try:
         await environment.start_engines()
         observed = await OperationsScenario(environment, phase_seconds).run()
     finally:
-        await environment.stop()  # also after a fault of the harness itself
+        await environment.stop()
     checks = observed.checks()
     return {
         "rig": "ops",
--- a/applevale/harness/ops/script.py
+++ b/applevale/harness/ops/script.py
@@ -1,4 +1,4 @@
-"""The script of the operations harness: what an operator does, phase after phase."""
+"""The script of the operations harness: the actions of an operator, in phases."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from http import HTTPStatus
 
 from ...discovery.endpoints import format_instance_id
-from .admin_client import call, until_ready
+from .admin_client import call, wait_until_ready
 from .environment import OperationsEnvironment
 from .evaluation import Observations, cut_requests, served_lookups
 
-EJECTION_GRACE_SECONDS = 0.5  # after an ejection is confirmed, from which nothing new may reach the engine
+EJECTION_GRACE_SECONDS = 0.5  # after which an ejected engine may receive nothing new
 READY_TIMEOUT_SECONDS = 6.0  # for a new process to become ready
-UNDRAIN_TIMEOUT_SECONDS = 2.0  # to become ready after /undrain
-REENABLE_TIMEOUT_SECONDS = 5.0  # within which an enabled engine that was in use gets work again
-EJECTED = 1  # index of the engine that is ejected first
-LATE_EJECTED = 2  # index of the engine that is ejected in the upgrade
+UNDRAIN_TIMEOUT_SECONDS = 2.0  # for a process to become ready after /undrain
+REENABLE_TIMEOUT_SECONDS = 5.0  # for an enabled engine that was in use to receive work again
+EJECTED = 1  # index of the engine ejected first
+LATE_EJECTED = 2  # index of the engine ejected during the upgrade
 UNKNOWN_ENGINE_ID = format_instance_id(0xFFFF)
 
 
 async def _disable(admin_address: str, engine_id: str) -> int:
-    """Eject an engine; return the status of the call."""
+    """Eject an engine, and return the HTTP status of the call."""
     status, _ = await call(admin_address, "POST", "/engines/disable", {"host": engine_id})
     return status
 
@@ -34,17 +34,22 @@
 
 
 class OperationsScenario:
-    """The phases of the script, and what they saw."""
+    """The phases of the script, and the observations made in them."""
 
     def __init__(self, environment: OperationsEnvironment, phase_seconds: float):
-        """Prepare the script on engines that are started; each phase takes about `phase_seconds`."""
+        """Prepare the script; the engines of the environment must have started.
+
+        Args:
+            environment: The parts of the run.
+            phase_seconds: Approximate duration of a phase.
+        """
         self.environment = environment
         self.phase_seconds = phase_seconds
         self.loop = asyncio.get_running_loop()
         self.observed = Observations()
 
     async def run(self) -> Observations:
-        """Run all phases in turn; return what was seen."""
+        """Run all phases in order, and return the observations."""
         await self._start_first()
         await self._eject()
         await self._drain()
@@ -56,8 +61,8 @@
 
     async def _start_first(self) -> None:
         environment = self.environment
-        await environment.start_process(environment.first)
-        self.observed.first_ready = await until_ready(environment.first_admin, READY_TIMEOUT_SECONDS)
+        await environment.start_process(environment.first_process)
+        self.observed.first_ready = await wait_until_ready(environment.first_admin, READY_TIMEOUT_SECONDS)
         await environment.start_clients()
         await asyncio.sleep(self.phase_seconds)
 
@@ -75,7 +80,7 @@
         self.observed.ready_status_in_drain = status
         await asyncio.sleep(self.phase_seconds)
         await call(admin, "POST", "/undrain")
-        self.observed.undrained = await until_ready(admin, UNDRAIN_TIMEOUT_SECONDS)
+        self.observed.undrained = await wait_until_ready(admin, UNDRAIN_TIMEOUT_SECONDS)
         await asyncio.sleep(self.phase_seconds / 2)
 
     async def _compare_metrics(self) -> None:
@@ -88,21 +93,21 @@
         observed = self.observed
         environment = self.environment
         observed.overlap_start = self.loop.time()
-        await environment.start_process(environment.second)
-        observed.second_ready = await until_ready(environment.second_admin, READY_TIMEOUT_SECONDS)
-        # Ejected at the second process while both run: the first must stop using the engine, too.
+        await environment.start_process(environment.second_process)
+        observed.second_ready = await wait_until_ready(environment.second_admin, READY_TIMEOUT_SECONDS)
+        # The ejection is requested from the second process; the first must stop using the engine, too.
         status = await _disable(environment.second_admin, _engine_id(LATE_EJECTED))
         observed.late_ejection_confirmed = status == HTTPStatus.OK
         observed.late_ejected_from = self._engine_time(LATE_EJECTED) + EJECTION_GRACE_SECONDS
         cut_before = cut_requests(environment.clients.sent)
-        observed.first_counters = await environment.first.stop()
+        observed.first_counters = await environment.first_process.stop()
         observed.overlap_end = self.loop.time()
-        observed.first_exit_code = environment.first.process.returncode
+        observed.first_exit_code = environment.first_process.process.returncode
         await asyncio.sleep(self.phase_seconds)
         observed.cut_in_upgrade = cut_requests(environment.clients.sent) - cut_before
 
     async def _enable_engines(self) -> None:
-        """Enable both engines; work may reach each from the moment of its own call."""
+        """Enable both engines; each may receive work as soon as its own call is made."""
         admin = self.environment.second_admin
         self.observed.enabled_at = self._engine_time(EJECTED)
         await _enable(admin, _engine_id(EJECTED))
@@ -111,13 +116,13 @@
         await asyncio.sleep(REENABLE_TIMEOUT_SECONDS)
 
     def _engine_time(self, index: int) -> float:
-        """Return the time by the clock of an engine, with which it records arrivals."""
+        """Return the present time by the clock with which an engine records arrivals."""
         return self.environment.engines[index].clock()
 
     async def _finish(self) -> None:
-        """Let open requests end, evaluate what engines and clients saw, and stop the second process."""
+        """Wait for open requests, evaluate what was recorded, and stop the second process."""
         environment = self.environment
         await environment.end_requests()
         self.observed.add_requests(environment, EJECTED, LATE_EJECTED)
         await environment.clients.stop()
-        self.observed.second_counters = await environment.second.stop()
+        self.observed.second_counters = await environment.second_process.stop()
--- a/tests/test_rig_ops.py
+++ b/tests/test_rig_ops.py
@@ -1,4 +1,4 @@
-"""The operations harness passes on a short run, and reports what is violated."""
+"""The operations harness passes a short run of the application, and reports violated guarantees."""
 
 import asyncio
 import json
@@ -21,23 +21,23 @@
 from applevale.harness.request_rules import count_violations
 
 
-def test_ejection_drain_and_upgrade_keep_their_guarantees():
+def test_guarantees_hold_through_ejection_drain_and_upgrade():
     result = asyncio.run(ops.run(seed=5, seconds=6.0))
     assert result["broken"] == [] and result["ok"], json.dumps(result)
     assert result["served"] > 0 and result["second_served"] > 0 and result["after_enable"] > 0
 
 
-def test_an_admin_api_that_is_never_ready_is_reported(monkeypatch):
-    async def never(address, within):
+def test_a_process_that_never_becomes_ready_is_reported(monkeypatch):
+    async def never_ready(address, timeout):
         return False
 
-    monkeypatch.setattr(script, "until_ready", never)
+    monkeypatch.setattr(script, "wait_until_ready", never_ready)
     result = asyncio.run(ops.run(seed=5, seconds=6.0))
     reported = {"first_ready", "second_ready_in_6s", "undrained_in_2s"}
     assert not result["ok"] and reported <= set(result["broken"])
 
 
-def test_a_fault_of_the_harness_leaves_no_process_behind(monkeypatch):
+def test_no_process_is_left_when_the_harness_fails(monkeypatch):
     started = []
 
     class RecordedProcess(environment.ManagedProcess):
@@ -45,18 +45,21 @@
             await super().start(*entry, env=env)
             started.append(self.process)
 
-    def faulty(address, within):
+    def fail(address, timeout):
         raise RuntimeError("planted")
 
     monkeypatch.setattr(environment, "ManagedProcess", RecordedProcess)
-    monkeypatch.setattr(script, "until_ready", faulty)
+    monkeypatch.setattr(script, "wait_until_ready", fail)
     with pytest.raises(RuntimeError, match="planted"):
         asyncio.run(ops.run(seed=5, seconds=6.0))
     assert len(started) == 1 and started[0].returncode is not None
 
 
 class EnabledEngine:
-    """An engine that receives an attempt once it is enabled, by a clock that each call moves on by 1 s."""
+    """An engine that receives an attempt when it is enabled.
+
+    `now` holds the time of a clock that all engines share; enabling an engine advances it by 2 s.
+    """
 
     def __init__(self, now):
         self.now = now
@@ -71,7 +74,7 @@
         self.now[0] += 1.0
 
 
-def test_work_that_reaches_an_engine_before_the_next_one_is_enabled_is_no_violation(monkeypatch):
+def test_an_engine_may_receive_work_before_the_other_one_is_enabled(monkeypatch):
     now = [100.0]
     engines = [EnabledEngine(now) for _ in range(3)]
 
@@ -96,33 +99,33 @@
 
 
 def requests_cut_at(*times):
-    """Requests that met a closed connection at these times; 0: that did not."""
+    """Return one request for each time at which its connection was cut; 0: it was not cut."""
     return [
         SentRequest(str(number), "lookup", 0, 1.0, 4.0, False, disconnected_at=at)
         for number, at in enumerate(times)
     ]
 
 
-def test_cut_requests_are_counted_whenever_they_were_cut():
+def test_cut_requests_are_counted_at_any_time_of_the_clock():
     assert cut_requests(requests_cut_at(0.0, 0.0)) == 0
     assert cut_requests(requests_cut_at(0.25, 0.0, 70_000.5)) == 2
 
 
 @pytest.mark.parametrize("extra", (0, 1))
-def test_two_cut_requests_pass_in_an_upgrade_and_a_third_does_not(extra):
+def test_an_upgrade_may_cut_two_requests_but_not_three(extra):
     times = [70_000.0 + number for number in range(MAX_CUT_REQUESTS + extra)]
     observed = Observations(cut_in_upgrade=cut_requests(requests_cut_at(*times)))
     assert MAX_CUT_REQUESTS == 2
     assert observed.checks()["cut_at_most_2"] is (extra == 0)
 
 
-def test_cuts_in_the_first_moments_of_the_clock_are_still_too_many():
+def test_too_many_cuts_are_reported_also_near_time_zero():
     observed = Observations(cut_in_upgrade=cut_requests(requests_cut_at(0.1, 0.2, 0.3, 0.4)))
     assert not observed.checks()["cut_at_most_2"]
 
 
 class RecordedEngine:
-    """An engine with what reached it, and when."""
+    """An engine that received these requests, one per second from time 0."""
 
     def __init__(self, *request_ids):
         self.arrivals = [
@@ -132,7 +135,7 @@
 
 
 class RecordedClients:
-    """Clients with what they sent: (id, time) of one key."""
+    """Clients that sent these requests, each an id and a time, with one order key."""
 
     def __init__(self, *sent):
         self.sent = [
@@ -143,23 +146,13 @@
         return Counter()
 
 
-def test_a_key_out_of_order_is_reported_but_across_two_processes_no_order_is_guaranteed():
+def test_the_order_of_a_key_is_checked_within_one_process_but_not_across_two():
     swapped = RecordedEngine("b", "a", "c")
-    assert (
-        count_violations(RecordedClients(("a", 1.0), ("b", 2.0), ("c", 9.0)), [swapped])["order_breaks"] == 1
-    )
-    assert (
-        count_violations(RecordedClients(("a", 1.0), ("b", 2.0), ("c", 9.0)), [swapped], (5.0, 6.0))[
-            "order_breaks"
-        ]
-        == 1
-    )
-    # b was sent while both ran, and may have come to the other one; c goes to the one that is left
-    assert (
-        count_violations(RecordedClients(("a", 1.0), ("b", 2.0), ("c", 9.0)), [swapped], (1.5, 6.0))[
-            "order_breaks"
-        ]
-        == 0
-    )
-    late = RecordedClients(("a", 7.0), ("b", 8.0), ("c", 9.0))  # the second alone: it counts again
-    assert count_violations(late, [swapped], (1.5, 6.0))["order_breaks"] == 1
+    clients = RecordedClients(("a", 1.0), ("b", 2.0), ("c", 9.0))
+    assert count_violations(clients, [swapped])["order_breaks"] == 1
+    assert count_violations(clients, [swapped], (5.0, 6.0))["order_breaks"] == 1
+    # The request b was sent while both processes ran, so either of them may have accepted it.
+    assert count_violations(clients, [swapped], (1.5, 6.0))["order_breaks"] == 0
+    # These were all sent after the overlap, to the second process, which keeps their order.
+    sent_after_overlap = RecordedClients(("a", 7.0), ("b", 8.0), ("c", 9.0))
+    assert count_violations(sent_after_overlap, [swapped], (1.5, 6.0))["order_breaks"] == 1
