--- a/applevale/harness/registry/__init__.py
+++ b/applevale/harness/registry/__init__.py
@@ -1,6 +1,12 @@
-"""The registry harness: the application behind both kinds of fake registry, with failures from a seed.
+"""The registry harness: the application with fake registries of both kinds, under faults from a seed.
 
-Checked in each run: no new work arrives at an engine later than 500 ms after the registry committed its drain
-or its deletion; at each quiet point the application's list is the registry's; no request is lost, answered
-twice, executed twice where that is not safe, or out of its key's order.
+Now and then all faults end, and the application has to catch up with the registry. Such a moment is a quiet
+point.
+
+What is checked:
+
+- No engine receives new work later than 500 ms after the registry committed its drain or deletion.
+- At each quiet point the application's engine list matches the registry.
+- No request is lost, answered twice, executed twice where that is unsafe, or executed out of the order of its
+  key.
 """
--- a/applevale/harness/registry/delayed_calls.py
+++ b/applevale/harness/registry/delayed_calls.py
@@ -1,4 +1,4 @@
-"""Calls that are due later, and can all be cancelled."""
+"""Delayed calls that can be cancelled all at once."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class DelayedCalls:
-    """Calls on the running event loop that have yet to be made."""
+    """The pending delayed calls on the running event loop."""
 
     def __init__(self) -> None:
-        """Create it without any call."""
+        """Create it without pending calls."""
         self._handles: set[asyncio.TimerHandle] = set()
 
     def schedule(self, delay: float, function: Callable[..., object], *arguments: object) -> None:
@@ -24,7 +24,7 @@
         self._handles.add(handle)
 
     def cancel_all(self) -> None:
-        """Make none of the calls that are not due yet."""
+        """Cancel all pending calls."""
         for handle in self._handles:
             handle.cancel()
         self._handles.clear()
--- a/applevale/harness/registry/engine_list.py
+++ b/applevale/harness/registry/engine_list.py
@@ -1,4 +1,4 @@
-"""The engines of the registry harness, as its script lists them in the registry."""
+"""The engine list of the registry harness, and the changes that its script makes to it."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 KEY_PREFIX = "applevale/engines/"
 ATTRIBUTE_NAMES = AttributeNames(tuple(ZONES), tuple(MACHINE_KINDS))
-LISTED_COUNT = 6  # engines in the list at the start
-SPARE_COUNT = 3  # engines beside them, which may replace one under its id
-MIN_READY_COUNT = 2  # engines that are never drained or deleted
-DRAIN_SHARE = 0.6  # of the ready engines drawn, that are drained; the others are deleted
-DELETION_AFTER_DRAIN_SHARE = 0.2  # of the ready engines drawn, that are deleted soon after their drain
+LISTED_ENGINE_COUNT = 6  # in the list at the start
+SPARE_ENGINE_COUNT = 3  # not listed at first; they may replace a listed engine under its id
+MIN_READY_ENGINE_COUNT = 2  # this many engines stay ready all the time
+DRAIN_PROBABILITY = 0.6  # that a ready engine is drained; otherwise it is deleted
+DELETION_AFTER_DRAIN_PROBABILITY = 0.2  # that a ready engine is drained and deleted soon afterwards
 DELETION_AFTER_DRAIN_SECONDS = 0.05
-REPLACEMENT_SHARE = 0.5  # of the returns, that are with another engine
-MALFORMED_RECORD_SHARE = 0.3  # of the draws that change no state
+REPLACEMENT_PROBABILITY = 0.5  # that an id becomes ready again with another engine
+MALFORMED_RECORD_PROBABILITY = 0.3  # that a malformed record is written where the state must not change
 MALFORMED_RECORD = b"{not a record"
-BURST_NUMBERS = range(1000, 1200)
+BURST_ENGINE_NUMBERS = range(1000, 1200)
 UNUSED_ADDRESS: Address = ("127.0.0.1", 9)
 
 
@@ -35,21 +35,27 @@
 
 
 class ListedEngine:
-    """An id in the list, the engine behind it, and the state that was last written."""
+    """An engine id in the list, with the engine that has it.
+
+    Attributes:
+        number: The number from which the id is made.
+        engine: The engine that has the id at present.
+        state: The state that was last written to the registry.
+    """
 
     def __init__(self, number: int, engine: FakeEngine):
-        """List an engine as ready under the id of that number."""
+        """List an engine as ready; nothing is written yet."""
         self.number = number
         self.engine = engine
         self.state = State.READY
 
     @property
     def key(self) -> bytes:
-        """The key of its record in the registry."""
+        """Key of its record in the registry."""
         return _key(self.number)
 
     def record(self) -> bytes:
-        """Return its record, as JSON."""
+        """Return its record as JSON."""
         fields = {
             "id": format_instance_id(self.number),
             "address": format_address(self.engine.address),
@@ -61,11 +67,11 @@
 
 
 class EngineList:
-    """The list of engines in a registry, and the changes that a script makes to it.
+    """The engine list in a registry.
 
     Attributes:
-        listed: The ids of the list, also those that are deleted at present.
-        spare: The engines that have no id.
+        listed: All ids of the list, including those whose records are deleted at present.
+        spare: The engines that have no id at present.
     """
 
     def __init__(
@@ -75,30 +81,30 @@
         random: Random,
         delayed_calls: DelayedCalls,
     ):
-        """List the first of these engines; nothing is written yet.
+        """Create the list without writing it to the registry.
 
         Args:
-            store: The registry's keys.
-            engines: `LISTED_COUNT` engines and the spare ones.
-            random: Draws the changes.
-            delayed_calls: Takes the deletions that follow a drain.
+            store: The keys and values of the registry.
+            engines: `LISTED_ENGINE_COUNT` engines to list, followed by the spare ones.
+            random: Source of all random draws.
+            delayed_calls: Schedules the deletions that follow a drain.
         """
         self._store = store
         self._engines = engines
         self._random = random
         self._delayed_calls = delayed_calls
         self.listed = [
-            ListedEngine(number, engine) for number, engine in enumerate(engines[:LISTED_COUNT], 1)
+            ListedEngine(number, engine) for number, engine in enumerate(engines[:LISTED_ENGINE_COUNT], 1)
         ]
-        self.spare = list(engines[LISTED_COUNT:])
+        self.spare = list(engines[LISTED_ENGINE_COUNT:])
 
     def write_all(self) -> None:
-        """Write the records of all ids."""
+        """Write the records of all ids to the registry."""
         for listed in self.listed:
             self._store.put(listed.key, listed.record())
 
     def set_state(self, listed: ListedEngine, state: State) -> None:
-        """Write a new state of an id; the state `GONE` deletes its record."""
+        """Write a new state of an id to the registry; the state `GONE` deletes its record."""
         listed.state = state
         if state is State.GONE:
             self._store.delete(listed.key)
@@ -106,36 +112,40 @@
             self._store.put(listed.key, listed.record())
 
     def change_one(self) -> None:
-        """Drain, delete or bring back an id that is drawn; some engines stay ready all the time."""
+        """Drain, delete or make ready again a randomly chosen id.
+
+        At least `MIN_READY_ENGINE_COUNT` engines stay ready. Where a change would leave fewer, a malformed
+        record may be written instead, and corrected at once.
+        """
         listed = self._random.choice(self.listed)
         ready_count = sum(other.state is State.READY for other in self.listed)
         draw = self._random.random()
         if listed.state is not State.READY:
             self._bring_back(listed, draw)
-        elif ready_count > MIN_READY_COUNT:
-            self._take_out(listed, draw)
-        elif draw < MALFORMED_RECORD_SHARE:
+        elif ready_count > MIN_READY_ENGINE_COUNT:
+            self._withdraw(listed, draw)
+        elif draw < MALFORMED_RECORD_PROBABILITY:
             self._store.put(listed.key, MALFORMED_RECORD)
             self._store.put(listed.key, listed.record())
 
-    def _take_out(self, listed: ListedEngine, draw: float) -> None:
-        if draw >= DRAIN_SHARE:
+    def _withdraw(self, listed: ListedEngine, draw: float) -> None:
+        if draw >= DRAIN_PROBABILITY:
             self.set_state(listed, State.GONE)
             return
         self.set_state(listed, State.DRAINING)
-        if draw < DELETION_AFTER_DRAIN_SHARE:
+        if draw < DELETION_AFTER_DRAIN_PROBABILITY:
             self._delayed_calls.schedule(DELETION_AFTER_DRAIN_SECONDS, self._store.delete, listed.key)
 
     def _bring_back(self, listed: ListedEngine, draw: float) -> None:
-        if self.spare and draw < REPLACEMENT_SHARE:
+        if self.spare and draw < REPLACEMENT_PROBABILITY:
             former = listed.engine
             listed.engine = self.spare.pop(0)
             self.spare.append(former)
         self.set_state(listed, State.READY)
 
     def write_burst(self) -> None:
-        """Write many records of draining engines that do not exist, at once."""
-        for number in BURST_NUMBERS:
+        """Write the records of many draining engines that do not exist, all at once."""
+        for number in BURST_ENGINE_NUMBERS:
             fields = {
                 "id": format_instance_id(number),
                 "address": format_address(UNUSED_ADDRESS),
@@ -143,8 +153,8 @@
             }
             self._store.put(_key(number), json.dumps(fields).encode())
 
-    def take_over_restored(self) -> None:
-        """Take over states and engines from the registry's records, after it was restored."""
+    def adopt_restored_records(self) -> None:
+        """Read the states and engines of all ids back from the records of a restored registry."""
         engines = {engine.address: engine for engine in self._engines}
         self.spare = list(self._engines)
         for listed in self.listed:
--- a/applevale/harness/registry/environment.py
+++ b/applevale/harness/registry/environment.py
@@ -1,4 +1,4 @@
-"""What one run of the registry harness consists of: an application, its engines, clients and a registry."""
+"""The parts of a run of the registry harness: application, engines, clients and registry."""
 
 from __future__ import annotations
 
@@ -19,52 +19,54 @@
 from ...net.addresses import format_address
 from ..managed_process import ManagedProcess
 from .delayed_calls import DelayedCalls
-from .engine_list import ATTRIBUTE_NAMES, KEY_PREFIX, LISTED_COUNT, SPARE_COUNT, EngineList
+from .engine_list import ATTRIBUTE_NAMES, KEY_PREFIX, LISTED_ENGINE_COUNT, SPARE_ENGINE_COUNT, EngineList
 
 MEMBER_TYPES = {"etcd": etcd.Member, "consul": consul.Member}
 MEMBER_COUNT = 3
 REQUESTS_PER_SECOND = 40.0
-CONVERGENCE_TIMEOUT_SECONDS = 3.0  # within which the list is the registry's once all failures have ended
+CONVERGENCE_TIMEOUT_SECONDS = 3.0  # for the list to match the registry after all faults have ended
 CONVERGENCE_POLL_SECONDS = 0.02
 
 
 @dataclass(frozen=True)
 class ScriptEvent:
-    """What the script did or saw, by the registry's clock, in seconds."""
+    """An action or observation of the script, at a time by the registry's clock, in seconds."""
 
     at: float
     text: str
 
 
 class ScenarioEnvironment:
-    """The application behind a registry of one kind, whose members stand behind proxies.
+    """The application with a registry of one kind, whose members it reaches through proxies.
 
     Attributes:
-        kind: `etcd` or `consul`.
-        members: The members of the registry.
-        proxies: The proxy before each member.
-        program: The application's process, once it has started.
-        clients: Its clients, once they have started.
-        backup: The registry as it was at the last quiet point.
-        figures: What the script counts.
-        events: What the script did and saw.
+        kind: Kind of the registry, `etcd` or `consul`.
+        members: The members of the registry; all serve the same store.
+        proxies: The proxy of each member.
+        program: The process of the application; None before `start`.
+        clients: Its clients; None before `start`.
+        backup: A copy of the store at the last quiet point; None before the first.
+        figures: Counts of the script, by name.
+        events: The actions and observations of the script.
     """
 
-    def __init__(self, kind: str, random: Random, entry: tuple[str, ...] = ()):
-        """Prepare all parts; nothing is started yet.
+    def __init__(self, kind: str, random: Random, entry_point: tuple[str, ...] = ()):
+        """Prepare all parts without starting them.
 
         Args:
-            kind: `etcd` or `consul`.
-            random: Draws all that the run leaves open.
-            entry: Another module to run as the application, for planted faults.
+            kind: Kind of the registry, `etcd` or `consul`.
+            random: Source of all random draws.
+            entry_point: Module to run in place of the application, and its arguments, for planted faults.
         """
         self.kind = kind
         self.random = random
-        self.entry = entry
+        self.entry_point = entry_point
         self.store = KeyValueStore()
         self.members = [MEMBER_TYPES[kind](self.store) for _ in range(MEMBER_COUNT)]
         self.proxies: list[FaultyProxy] = []
-        self.fake_engines = [FakeEngine(Random(random.random())) for _ in range(LISTED_COUNT + SPARE_COUNT)]
+        self.fake_engines = [
+            FakeEngine(Random(random.random())) for _ in range(LISTED_ENGINE_COUNT + SPARE_ENGINE_COUNT)
+        ]
         self.delayed_calls = DelayedCalls()
         self.engine_list = EngineList(self.store, self.fake_engines, random, self.delayed_calls)
         self.program: ManagedProcess | None = None
@@ -74,7 +76,7 @@
         self.events: list[ScriptEvent] = []
 
     async def start(self) -> None:
-        """Start the registry, the engines, the application and its clients, in this order."""
+        """Start registry, engines, application and clients, in this order."""
         for member in self.members:
             await member.start()
             proxy = FaultyProxy(member.address, Random(self.random.random()))
@@ -84,7 +86,7 @@
             await engine.start()
         self.engine_list.write_all()
         self.program = ManagedProcess(self._config(self.proxies), f"rig-{self.kind}")
-        await self.program.start(*self.entry)
+        await self.program.start(*self.entry_point)
         await self.reach_quiet_point()
         self.clients = ClientPool(
             self.program.address, Random(self.random.random()), ClientProfile(REQUESTS_PER_SECOND)
@@ -96,7 +98,7 @@
         return {"registry": {"kind": self.kind, "addresses": addresses, "prefix": KEY_PREFIX}}
 
     async def stop(self) -> dict:
-        """End all that was started, also after a failure; return the application's last counters."""
+        """Stop everything that was started, also after a failure; return the application's last counters."""
         counters = {}
         try:
             if self.clients is not None:
@@ -110,11 +112,11 @@
         return counters
 
     def record_event(self, text: str) -> None:
-        """Record what the script does or sees now."""
+        """Record an action or observation of the script at the present time."""
         self.events.append(ScriptEvent(self.store.clock(), text))
 
     def reload(self, proxies: list[FaultyProxy]) -> None:
-        """Give the application a configuration with these members of the registry, by SIGHUP."""
+        """Reload the application's configuration with these proxies as members of the registry."""
         self.program.write_config(self._config(proxies))
         self.program.process.send_signal(signal.SIGHUP)
 
@@ -123,8 +125,8 @@
         for proxy in self.proxies:
             proxy.abort_connections()
 
-    def end_failures(self) -> None:
-        """End all failures, also those that are yet to come."""
+    def end_faults(self) -> None:
+        """End all faults, and cancel all calls that are scheduled for later."""
         self.delayed_calls.cancel_all()
         for proxy in self.proxies:
             proxy.set_mode(ProxyMode.PASS)
@@ -137,11 +139,11 @@
         self.store.notify()
 
     async def reach_quiet_point(self) -> None:
-        """End all failures, wait until the application's list is the registry's, and take a backup.
+        """End all faults, wait until the application's list matches the registry, and take a backup.
 
-        A list that does not become the registry's in time is counted as wrong.
+        A list that does not match in time is counted in the figure `wrong_lists`.
         """
-        self.end_failures()
+        self.end_faults()
         expected = self._expected_digest()
         loop = asyncio.get_running_loop()
         end = loop.time() + CONVERGENCE_TIMEOUT_SECONDS
@@ -149,13 +151,14 @@
         while not self._is_current(counters, expected):
             if loop.time() > end:
                 self.figures["wrong_lists"] += 1
-                self.record_event(f"wrong list: {counters.get('registry_digest')}, not {expected}")
+                digest = counters.get("registry_digest")
+                self.record_event(f"wrong list: digest {digest}, expected {expected}")
                 break
             await asyncio.sleep(CONVERGENCE_POLL_SECONDS)
             counters = await self.program.counters()
         self.figures["quiet_points"] += 1
         known_revision = counters.get("registry_revision")
-        self.record_event(f"quiet at {self.store.revision}, the program at {known_revision}")
+        self.record_event(f"quiet point: revision {self.store.revision}, application at {known_revision}")
         self.backup = self.store.copy()
 
     def _is_current(self, counters: dict, expected_digest: int) -> bool:
--- a/applevale/harness/registry/evaluation.py
+++ b/applevale/harness/registry/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation of a run of the registry harness: drains, violations, figures, and what led to a failure."""
+"""Evaluation of a run of the registry harness: drains, violations, figures and a failure report."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from .engine_list import ATTRIBUTE_NAMES
 from .environment import ScenarioEnvironment
 
-SECONDS_BEFORE_LATE_DRAIN = 3.0  # that are explained
-SECONDS_BEFORE_WRONG_LIST = 5.0
-MAX_LINE_LENGTH = 140
+REPORTED_SECONDS_BEFORE_LATE_DRAIN = 3.0
+REPORTED_SECONDS_BEFORE_WRONG_LIST = 5.0
+MAX_REPORT_TEXT_LENGTH = 140
 VIOLATIONS = ("missed_drains", "wrong_lists", *REQUEST_RULES)  # figures that must be 0
 REGISTRY_COUNTERS = (
     "full_reads",
@@ -37,7 +37,7 @@
 
 
 def environment_drains(environment: ScenarioEnvironment) -> list[Drain]:
-    """Return the drains and deletions of a run; all its parts share one clock."""
+    """Return the drains and deletions of a run. Registry and engines use the same clock."""
     arrivals = {
         format_address(engine.address): [arrival.received_at for arrival in engine.arrivals]
         for engine in environment.fake_engines
@@ -46,7 +46,7 @@
 
 
 def _listing_changes(store: KeyValueStore) -> Iterator[ListingChange]:
-    """Iterate over the commits but for malformed records, which change nothing."""
+    """Iterate over the commits, without those of malformed records, which change nothing."""
     for commit in store.commits:
         try:
             ready_address = _ready_address(commit)
@@ -62,15 +62,15 @@
     return format_address(endpoint.address) if endpoint.entry.state is State.READY else None
 
 
-def print_explanation(environment: ScenarioEnvironment) -> None:
-    """Print, on standard error, what led to each drain that came too late and to each wrong list."""
+def print_failure_report(environment: ScenarioEnvironment) -> None:
+    """Print to standard error the events before each late drain and each wrong list."""
     periods = [
-        (drain.committed_at - SECONDS_BEFORE_LATE_DRAIN, drain.last_arrival)
+        (drain.committed_at - REPORTED_SECONDS_BEFORE_LATE_DRAIN, drain.last_arrival)
         for drain in environment_drains(environment)
         if drain.lag > MAX_DRAIN_LAG_SECONDS
     ]
     periods += [
-        (event.at - SECONDS_BEFORE_WRONG_LIST, event.at)
+        (event.at - REPORTED_SECONDS_BEFORE_WRONG_LIST, event.at)
         for event in environment.events
         if event.text.startswith("wrong list")
     ]
@@ -79,11 +79,11 @@
 
 
 def _events_between(environment: ScenarioEnvironment, start: float, end: float) -> list[str]:
-    """Return what the script did and the registry committed from `start` to `end`, one line each."""
+    """Return a line for each event of the script and each commit from `start` to `end`."""
     events = [(event.at, event.text) for event in environment.events]
     events += [(commit.committed_at, _describe_commit(commit)) for commit in environment.store.commits]
     return [
-        f"{environment.kind} {at:.3f} {text[:MAX_LINE_LENGTH]}"
+        f"{environment.kind} {at:.3f} {text[:MAX_REPORT_TEXT_LENGTH]}"
         for at, text in sorted(events)
         if start <= at <= end
     ]
@@ -95,10 +95,10 @@
 
 
 def run_figures(environments: Sequence[ScenarioEnvironment], counters: Sequence[dict]) -> dict:
-    """Return the figures over all environments of a run.
+    """Return the figures of a run, summed over its environments.
 
     Args:
-        environments: The environments, all of them stopped.
+        environments: The environments, all stopped.
         counters: The last counters of the application in each of them.
     """
     lags = [drain.lag for environment in environments for drain in environment_drains(environment)]
@@ -132,6 +132,6 @@
     return {name: round(lag * 1000, 1) for name, lag in figures.items()}
 
 
-def is_sound(figures: dict) -> bool:
-    """Return whether there were drains, and nothing was violated."""
+def has_passed(figures: dict) -> bool:
+    """Return whether the run had drains and violated no guarantee."""
     return figures["drains"] > 0 and not any(figures[name] for name in VIOLATIONS)
--- a/applevale/harness/registry/runner.py
+++ b/applevale/harness/registry/runner.py
@@ -1,4 +1,4 @@
-"""One run of the registry harness: both kinds of registry side by side."""
+"""Runner of the registry harness, which tests both kinds of registry side by side."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from random import Random
 
 from .environment import MEMBER_TYPES, ScenarioEnvironment
-from .evaluation import is_sound, print_explanation, run_figures
+from .evaluation import has_passed, print_failure_report, run_figures
 from .scenario import RegistryScenario
 
 
-async def run(seed: int, seconds: float, entry: tuple[str, ...] = ()) -> dict:
-    """Play the script for `seconds`; return the figures, with `ok`.
+async def run(seed: int, seconds: float, entry_point: tuple[str, ...] = ()) -> dict:
+    """Run the script once, and return the figures with `ok`; report failures on standard error.
 
     Args:
-        seed: Decides all that is drawn.
-        seconds: How long it plays.
-        entry: Another module to run as the application, for planted faults.
+        seed: Seed of all random draws.
+        seconds: Duration of the script.
+        entry_point: Module to run in place of the application, and its arguments, for planted faults.
     """
     random = Random(seed)
-    environments = [ScenarioEnvironment(kind, Random(random.random()), entry) for kind in MEMBER_TYPES]
+    environments = [ScenarioEnvironment(kind, Random(random.random()), entry_point) for kind in MEMBER_TYPES]
     scenarios = [RegistryScenario(environment) for environment in environments]
     counters: list[dict] = []
     try:
@@ -29,8 +29,8 @@
     finally:
         counters = await asyncio.gather(*(environment.stop() for environment in environments))
     figures = run_figures(environments, counters)
-    ok = is_sound(figures)
+    ok = has_passed(figures)
     if not ok:
         for environment in environments:
-            print_explanation(environment)
+            print_failure_report(environment)
     return {"rig": "registry", "ok": ok, "seed": seed, "seconds": seconds, **figures}
