--- a/applevale/simulation/__init__.py
+++ b/applevale/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Discrete-event simulation of thousands of state machines, on the simulated links of fault_injection."""
+"""Discrete-event simulation of thousands of state machines, with the faulty links of fault_injection."""
--- a/applevale/simulation/engine.py
+++ b/applevale/simulation/engine.py
@@ -1,14 +1,14 @@
-"""A discrete-event simulation of many processes: messages, timers, clocks, pauses and restarts.
+"""A discrete-event simulation of many processes, with messages, timers, clocks, pauses and restarts.
 
-Nothing here knows which state machine it runs.
+The simulation is independent of the state machine that the processes run.
 
 Invariants:
 
-- The same seed and the same faults give the same history.
-- Each actor sees its own clock only, which runs at a rate of its own; so does its sleep until
-  `next_deadline`.
-- What reaches a paused actor is queued, up to the size of a socket's buffer. It is delivered when the actor
-  resumes, in batches with the timer in between: as an event loop reads its sockets.
+- The same seed and the same faults produce the same history.
+- Each actor sees only the clock of its process, which runs at its own rate. The rate also applies to the time
+  until `next_deadline`.
+- Messages to a paused actor are queued, up to the capacity of a socket's buffer. When the actor resumes, they
+  are delivered in batches, with due timers in between, as by an event loop that reads from a socket.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 from ..fault_injection.link_conditions import LinkConditions
 
-MAX_BATCH_MESSAGES = 64  # read before timers have their turn
-MAX_QUEUED_MESSAGES = 400  # for a paused actor
+MAX_BATCH_MESSAGES = 64  # delivered between two runs of due timers
+MAX_QUEUED_MESSAGES = 400  # in the receive queue of a paused actor
 MAX_CLOCK_OFFSET_SECONDS = 1e6
 
-# Time, sequence number (equal times keep their order), callback and its arguments.
+# Time, sequence number (which orders calls at equal times), callback and its arguments.
 ScheduledCall = tuple[float, int, Callable[..., None], tuple]
 
 
 class Actor(Protocol):
-    """A state machine without I/O: events and local times in, commands out."""
+    """A state machine without I/O, which takes events with local times and returns commands."""
 
     def start(self, now: float) -> list[Any]:
-        """Start, once, and return the first commands."""
+        """Start the actor, and return its first commands; called once."""
         ...
 
     def on_message(self, now: float, sender: int, message: Any) -> list[Any]:
@@ -47,26 +47,26 @@
         ...
 
     def leave(self, now: float) -> list[Any]:
-        """Shut down in order, and return the last commands."""
+        """Shut down gracefully, and return the last commands."""
         ...
 
     def next_deadline(self) -> float:
-        """Return the local time of the next timer, in seconds; `inf`: none."""
+        """Return the local time of the next timer, in seconds; `inf` if there is none."""
         ...
 
 
 @dataclass
 class SimulatedProcess:
-    """A process in which an actor runs, with its clock and its receive queue.
+    """A process that runs an actor, with its own clock and receive queue.
 
     Attributes:
-        name: Name, as link conditions and schedules know it.
-        clock_rate: Seconds of its clock in a second of simulated time.
-        clock_offset: Its clock at the start of the simulation, in seconds.
-        actor: What runs; None: nothing.
-        start_count: How often it was started.
-        timer_id: The one pending timer that is valid; former ones are ignored.
-        paused_until: Simulated time at which it resumes, in seconds.
+        name: Name of the process in link conditions and fault schedules.
+        clock_rate: Seconds by which its clock advances per second of simulated time.
+        clock_offset: What its clock shows at the start of the simulation, in seconds.
+        actor: The actor that runs; None while the process is not running.
+        start_count: How often the process has been started.
+        timer_id: Number of the only valid timer; pending timers with lower numbers are ignored.
+        paused_until: Simulated time at which its pause ends, in seconds.
         receive_queue: Pairs of sender and message that arrived during a pause.
     """
 
@@ -80,7 +80,7 @@
     receive_queue: deque[tuple[int, Any]] = field(default_factory=deque)
 
     def local_time(self, now: float) -> float:
-        """Return what its clock shows at a simulated time."""
+        """Return what its clock shows at the simulated time `now`."""
         return self.clock_offset + self.clock_rate * now
 
     def simulated_time(self, local_time: float) -> float:
@@ -89,27 +89,36 @@
 
 
 class ActorHost(Protocol):
-    """Creates the actors of a simulation and interprets their commands."""
+    """Creates the actors of a simulation, and interprets their commands."""
 
     def create_actor(self, number: int, start_count: int) -> Actor:
-        """Return a new actor, for a process's number and the count of its starts."""
+        """Return a new actor for the process `number`, which has now been started `start_count` times."""
         ...
 
     def route(self, command: Any) -> tuple[int, Any, int] | None:
-        """Return target, message and its size in bytes of a command that sends; None for any other."""
+        """Return target, message and message size in bytes if the command sends; None otherwise."""
         ...
 
     def on_command(self, now: float, number: int, command: Any) -> None:
-        """Handle a command of a process that does not send."""
+        """Handle a command that does not send a message."""
         ...
 
     def on_sent(self, now: float, number: int, size: int) -> None:
-        """Take note that a process has sent a message of this size in bytes."""
+        """Record that the process `number` sent a message of `size` bytes."""
         ...
 
 
 class Simulation:
-    """Processes by number, the links between them, and the queue of what happens next."""
+    """A simulation of numbered processes and the links between them.
+
+    Attributes:
+        link_conditions: The active faults on the links.
+        now: Simulated time since the start, in seconds.
+        processes: The processes, by number.
+        scheduled_calls: Heap of the calls that are due later.
+        scheduled_count: Number of calls scheduled so far.
+        message_count: Number of messages sent so far.
+    """
 
     def __init__(
         self,
@@ -119,14 +128,14 @@
         drift: float = 1e-4,
         latency: tuple[float, float] = (0.0003, 0.003),
     ):
-        """Create processes that have not started yet.
+        """Create the processes without starting them.
 
         Args:
-            count: Processes.
+            count: Number of processes.
             seed: Seed of all random draws.
-            host: Creates the actors and interprets their commands.
-            drift: The greatest deviation of a clock's rate from 1.
-            latency: The least and the greatest latency of a message, in seconds.
+            host: Creates the actors, and interprets their commands.
+            drift: Largest deviation of a clock rate from 1.
+            latency: Smallest and largest latency of a message, in seconds.
         """
         self.random = Random(seed)
         self.link_conditions = LinkConditions(seed)
@@ -134,7 +143,7 @@
         self.latency = latency
         self.now = 0.0
         self.processes = [self._create_process(number, drift) for number in range(count)]
-        self.queue: list[ScheduledCall] = []
+        self.scheduled_calls: list[ScheduledCall] = []
         self.scheduled_count = 0
         self.message_count = 0
 
@@ -144,11 +153,11 @@
         return SimulatedProcess(f"n{number}", clock_rate, clock_offset)
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
-        """Schedule a call at a simulated time, in seconds; one that is over counts as now."""
+        """Schedule a call at a simulated time, in seconds; a time in the past means now."""
         self._schedule(when, callback)
 
     def start(self, number: int) -> None:
-        """Start a process with a new actor."""
+        """Start a process, with a new actor."""
         process = self.processes[number]
         process.start_count += 1
         process.actor = self.host.create_actor(number, process.start_count)
@@ -157,28 +166,28 @@
         self._execute(number, process.actor.start(process.local_time(self.now)))
 
     def kill(self, number: int) -> None:
-        """End a process without notice."""
+        """End a process without notifying its actor."""
         process = self.processes[number]
         process.actor = None
         process.timer_id += 1
 
     def leave(self, number: int) -> None:
-        """Shut a process down in order."""
+        """Shut a process down gracefully, if it runs."""
         process = self.processes[number]
         if process.actor is not None:
             self._execute(number, process.actor.leave(process.local_time(self.now)))
             self.kill(number)
 
     def pause(self, number: int, duration: float) -> None:
-        """Suspend a process for `duration` seconds; a longer pause that it is in stays."""
+        """Pause a running process for `duration` seconds; a current pause that ends later is kept."""
         process = self.processes[number]
         if process.actor is not None:
             process.paused_until = max(process.paused_until, self.now + duration)
             self._schedule(process.paused_until, self._resume, number, process.start_count)
 
     def run(self, until: float) -> None:
-        """Run all that happens up to a simulated time, in seconds."""
-        queue = self.queue
+        """Run the simulation up to the simulated time `until`, in seconds."""
+        queue = self.scheduled_calls
         while queue and queue[0][0] <= until:
             self.now, _, callback, args = heappop(queue)
             callback(*args)
@@ -186,7 +195,7 @@
 
     def _schedule(self, when: float, callback: Callable[..., None], *args: object) -> None:
         self.scheduled_count += 1
-        heappush(self.queue, (max(when, self.now), self.scheduled_count, callback, args))
+        heappush(self.scheduled_calls, (max(when, self.now), self.scheduled_count, callback, args))
 
     def _resume(self, number: int, start_count: int) -> None:
         process = self.processes[number]
--- a/applevale/simulation/experiment.py
+++ b/applevale/simulation/experiment.py
@@ -1,8 +1,8 @@
-"""Grids of simulated runs: all cores, results kept as they come, resumed after a stop, compared by seed.
+"""Grids of simulated runs, which use all cores and can be resumed after an interruption.
 
-Nothing here knows what is run: a runner takes a version's settings, a size, a case and a seed, and returns
-figures by name. Each row of `results.csv` holds the inputs that made it, beside a digest of the code that
-ran, so that rows of other code are never taken for this one's.
+This module is independent of what is simulated: a runner takes a version with its settings, a size, a case
+and a seed, and returns figures by name. Each row of `results.csv` holds the inputs of its run and a digest of
+the code, so that results of different code are never mixed.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 
 import msgspec
 
-from .results import INPUTS, ExperimentError, Row, read_results
+from .results import INPUT_COLUMNS, ExperimentError, Row, read_results
 
-# Packages that a run may depend on.
+# Packages on whose code the result of a run may depend.
 DIGESTED_PACKAGES = ("membership", "startup", "simulation", "fault_injection", "checkers")
 CODE_DIGEST_BYTES = 6
 RESULTS_FILE = "results.csv"
 EXPERIMENT_FILE = "experiment.json"
 
 Runner = Callable[[str, dict[str, float], int, str, int], dict[str, float]]
-Positive = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
+PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
 
 
 @dataclass(frozen=True)
 class Job:
-    """One run of a grid.
+    """The inputs of one run of a grid.
 
     Attributes:
-        version: Name of the version, as the runner knows it.
-        settings: Its settings, as JSON with sorted keys.
-        size: Members.
+        version: Name of the version in the experiment file.
+        settings: Settings of the version, as JSON with sorted keys.
+        size: Number of members.
         case: Name of the scenario.
         seed: Seed of all random draws.
     """
@@ -49,18 +49,18 @@
     seed: int
 
     def inputs(self, code: str) -> Row:
-        """Return the columns of a result that name the run, with the digest of the code."""
+        """Return the input columns of the result; `code` is the digest of the code."""
         values = (code, self.version, self.settings, str(self.size), self.case, str(self.seed))
-        return dict(zip(INPUTS, values))
+        return dict(zip(INPUT_COLUMNS, values))
 
 
 @dataclass(frozen=True)
 class RunCounts:
-    """What a call of `run` did.
+    """The numbers of runs that a call of `run` completed and skipped.
 
     Attributes:
-        completed: Runs played now.
-        known: Results that the folder held before.
+        completed: Runs completed by the call.
+        known: Results that the folder already held, also those of other code or grids.
     """
 
     completed: int
@@ -68,20 +68,20 @@
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """An experiment file.
+    """The content of an experiment file: a grid of runs.
 
     Attributes:
-        machine: Name of the runner.
+        machine: Name of the state machine, a key of `RUNNERS`.
         sizes: Numbers of members.
         cases: Names of scenarios.
-        seeds: The first and the last seed.
-        versions: A name of the runner's, with settings of its own.
+        seeds: First and last seed, both included.
+        versions: Settings of each version, by its name.
     """
 
     machine: str
-    sizes: Annotated[list[Positive], msgspec.Meta(min_length=1, max_length=100)]
+    sizes: Annotated[list[PositiveCount], msgspec.Meta(min_length=1, max_length=100)]
     cases: Annotated[list[str], msgspec.Meta(min_length=1, max_length=100)]
-    seeds: tuple[Positive, Positive]
+    seeds: tuple[PositiveCount, PositiveCount]
     versions: Annotated[dict[str, dict[str, float]], msgspec.Meta(min_length=1, max_length=20)]
 
     def jobs(self) -> list[Job]:
@@ -96,10 +96,10 @@
 
 
 def read_experiment(data: bytes) -> Experiment:
-    """Parse an experiment file.
+    """Parse the content of an experiment file.
 
     Raises:
-        ExperimentError: It is not valid; the text names the place.
+        ExperimentError: It is invalid; the text names the place.
     """
     try:
         return msgspec.json.decode(data, type=Experiment)
@@ -108,7 +108,7 @@
 
 
 def code_digest(root: Path = Path(__file__).parent.parent) -> str:
-    """Return a digest of all code that a run may depend on."""
+    """Return a digest of all code on which the result of a run may depend."""
     digest = blake2b(digest_size=CODE_DIGEST_BYTES)
     for package in DIGESTED_PACKAGES:
         for path in sorted((root / package).glob("*.py")):
@@ -123,23 +123,23 @@
     process_count: int | None = None,
     watch: Callable[[Iterable, int], Iterable] = lambda done, total: done,
 ) -> RunCounts:
-    """Play the runs whose results are not in the folder yet.
+    """Run all jobs of a grid whose results are not in the folder yet.
 
     Args:
         experiment: The grid.
-        runner: Plays one run; called in another process.
-        folder: Folder of the results; created where it is missing.
-        process_count: Processes; None: one for each core.
-        watch: Wraps the finished runs, given with their number, for a progress bar.
+        runner: Performs one run; called in another process.
+        folder: Folder of the results; created if it does not exist.
+        process_count: Number of processes; None: one for each core.
+        watch: Wraps the iterable of finished runs, given with their total number, for a progress bar.
 
     Raises:
-        ExperimentError: The folder's results cannot be read.
+        ExperimentError: The results in the folder cannot be read.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / RESULTS_FILE
     code = code_digest()
-    known = {_key(row) for row in read_results(path)} if path.exists() else set()
-    pending = _pending_jobs(experiment, code, known)
+    known_keys = {_key(row) for row in read_results(path)} if path.exists() else set()
+    pending = _pending_jobs(experiment, code, known_keys)
     (folder / EXPERIMENT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(experiment), indent=1))
     with (
         ProcessPoolExecutor(process_count or os.cpu_count()) as pool,
@@ -148,17 +148,17 @@
         running = {_submit(pool, runner, job): job for job in pending}
         finished = watch(as_completed(running), len(running))
         _append_rows(file, (running[future].inputs(code) | future.result() for future in finished))
-    return RunCounts(len(pending), len(known))
+    return RunCounts(len(pending), len(known_keys))
 
 
-def _pending_jobs(experiment: Experiment, code: str, known: set[tuple[str, ...]]) -> list[Job]:
-    """Return the runs without a result, the largest first: the last to end should not take long."""
-    pending = [job for job in experiment.jobs() if _key(job.inputs(code)) not in known]
+def _pending_jobs(experiment: Experiment, code: str, known_keys: set[tuple[str, ...]]) -> list[Job]:
+    """Return the jobs without a result, largest first, so that no long run is left for the end."""
+    pending = [job for job in experiment.jobs() if _key(job.inputs(code)) not in known_keys]
     return sorted(pending, key=lambda job: -job.size)
 
 
 def _key(row: Row) -> tuple[str, ...]:
-    return tuple(row[name] for name in INPUTS)
+    return tuple(row[name] for name in INPUT_COLUMNS)
 
 
 def _submit(pool: ProcessPoolExecutor, runner: Runner, job: Job) -> Future:
@@ -167,7 +167,7 @@
 
 
 def _append_rows(file: IO[str], rows: Iterable[dict]) -> None:
-    """Write rows as they come, each flushed; a header only where the file is empty."""
+    """Write and flush each row as it arrives, after a header if the file is empty."""
     writer = None
     for row in rows:
         if writer is None:
--- a/applevale/simulation/fault_player.py
+++ b/applevale/simulation/fault_player.py
@@ -1,4 +1,4 @@
-"""Playback of a fault schedule on a simulation, and the history that checkers read."""
+"""Execution of a fault schedule in a simulation, with a history for the checkers."""
 
 from __future__ import annotations
 
@@ -10,55 +10,55 @@
 
 
 class FaultPlayer:
-    """Executes the steps of a fault schedule and records the events of the run.
+    """Executes the steps of a fault schedule, and records the events of the run.
 
-    Steps that act on a registry or upgrade a process have no meaning in a simulation.
+    Steps that send orders to a registry or upgrade a process are not supported.
+
+    Attributes:
+        simulation: The simulation in which the faults take place.
+        events: The history recorded so far.
     """
 
     def __init__(self, simulation: Simulation):
-        """Create a player with an empty history.
-
-        Args:
-            simulation: Where the faults take place.
-        """
+        """Create a player with an empty history."""
         self.simulation = simulation
         self.events: list[dict] = []
 
-    def note(self, event: str, **fields: object) -> None:
-        """Append an event of the present time to the history."""
+    def record(self, event: str, **fields: object) -> None:
+        """Append an event to the history, at the present simulated time."""
         self.events.append({"at": self.simulation.now, "event": event, **fields})
 
     def play(self, steps: list[schedule.Step]) -> None:
-        """Schedule all steps, with times that count from now."""
+        """Schedule all steps, with their times relative to now."""
         started_at = self.simulation.now
         for step in steps:
             self.simulation.call_at(started_at + step.at, lambda step=step: self._execute(step))
 
     def start(self, number: int) -> None:
-        """Start a process and record it."""
-        self.note("launched", who=f"n{number}", how="start")
+        """Start a process, and record that."""
+        self.record("launched", who=f"n{number}", how="start")
         self.simulation.start(number)
 
     def end(self, number: int, how: str, restart_after: float | None) -> None:
-        """End a process and record it.
+        """End a process, and record that.
 
         Args:
-            number: The process.
-            how: `term` for an orderly shutdown, `kill` for an end without notice.
-            restart_after: Seconds until it starts again; None: never.
+            number: Number of the process.
+            how: `term` for a graceful shutdown, `kill` for an end without notice.
+            restart_after: Seconds until it is restarted; None: never.
         """
         if how == "term":
             self.simulation.leave(number)
         else:
             self.simulation.kill(number)
-        self.note("ended", who=f"n{number}", how=how)
+        self.record("ended", who=f"n{number}", how=how)
         if restart_after is not None:
             self.simulation.call_at(self.simulation.now + restart_after, lambda: self.start(number))
 
     def _execute(self, step: schedule.Step) -> None:
         fields = msgspec.to_builtins(step)
         fields.pop("at")
-        self.note("fault", **fields)
+        self.record("fault", **fields)
         match step:
             case schedule.ApplyLinkCondition():
                 self._apply_link_condition(step)
@@ -74,7 +74,7 @@
             case schedule.PauseRepeatedly():
                 self._pause_repeatedly(step)
             case schedule.OrderRegistry() | schedule.UpgradeProcess():
-                raise ValueError(f"{fields['do']}: not supported by the simulation")
+                raise ValueError(f"step {fields['do']!r}: the simulation does not support it")
 
     def _apply_link_condition(self, step: schedule.ApplyLinkCondition) -> None:
         conditions = self.simulation.link_conditions
@@ -82,8 +82,8 @@
         self.simulation.call_at(self.simulation.now + step.duration, lambda: conditions.remove(number))
 
     def _pause_repeatedly(self, step: schedule.PauseRepeatedly) -> None:
-        for turn in range(step.count):
-            pause_at = self.simulation.now + turn * step.interval
+        for repetition in range(step.count):
+            pause_at = self.simulation.now + repetition * step.interval
             for number in self._matching_processes(step.processes):
                 self.simulation.call_at(
                     pause_at, lambda number=number: self.simulation.pause(number, step.duration)
--- a/applevale/simulation/membership.py
+++ b/applevale/simulation/membership.py
@@ -1,4 +1,4 @@
-"""The membership protocol in simulated time: a fleet, a scenario of faults, and the history of both."""
+"""Simulation of the membership protocol: a fleet runs a fault scenario and records a history."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from .engine import Simulation
 from .fault_player import FaultPlayer
 
-JOIN_SECONDS = 4.0  # within which all members have joined
-SETTLE_SECONDS = 6.0  # after the last fault
-START_SPREAD_SECONDS = 1.0  # within which all members start
-KNOWN_START_SPREAD_SECONDS = 0.05  # the same where all know each other already
+JOIN_SECONDS = 4.0  # for all members to start and join
+SETTLE_SECONDS = 6.0  # after the last fault, before the run ends
+START_SPREAD_SECONDS = 1.0  # period in which all members start
+JOINED_START_SPREAD_SECONDS = 0.05  # the same period if all know each other from the start
 SHARE_SAMPLE_INTERVAL_SECONDS = 0.1
 SENT_BUCKETS_PER_SECOND = 10
 
@@ -38,13 +38,13 @@
 
 
 @dataclass(slots=True)
-class SentBytes:
-    """What one member sent in a tenth of a second.
+class SentTotals:
+    """The datagrams that one member sent within one time bucket.
 
     Attributes:
-        total: Bytes of all datagrams.
-        largest: Bytes of the largest datagram.
-        count: Datagrams.
+        total: Size of all datagrams, in bytes.
+        largest: Size of the largest datagram, in bytes.
+        count: Number of datagrams.
     """
 
     total: int = 0
@@ -53,7 +53,7 @@
 
 
 class SimulatedFleet:
-    """A fleet of members in simulated time."""
+    """A fleet of members that run the membership protocol in simulated time."""
 
     def __init__(
         self,
@@ -63,14 +63,14 @@
         liar: type[MembershipProtocol] | None = None,
         known: bool = False,
     ):
-        """Create a fleet that has not started yet.
+        """Create the fleet without starting it.
 
         Args:
-            count: Members.
+            count: Number of members.
             seed: Seed of all random draws.
-            config: Parameters of the protocol; None: the defaults.
-            liar: Another class for the first member's protocol, with a planted fault.
-            known: Whether all know each other from the first moment, without the traffic of their start.
+            config: Parameters of the protocol; None: the default ones.
+            liar: Protocol class with a planted fault for the first member; None: the real one.
+            known: Whether all members know each other from the start, without the traffic of joining.
         """
         self.count = count
         self.seed = seed
@@ -80,29 +80,29 @@
         self.simulation = Simulation(count, seed, self)
         self.fault_player = FaultPlayer(self.simulation)
         self.process_ids = [self._process_id(number, 1) for number in range(count)]
-        self.fleet_sizes: dict[tuple[int, int], EffectiveFleetSize] = {}  # by member and start
-        self.sent: dict[tuple[int, int], SentBytes] = defaultdict(SentBytes)  # by member and bucket of time
+        self.fleet_sizes: dict[tuple[int, int], EffectiveFleetSize] = {}  # by member and start count
+        self.sent: dict[tuple[int, int], SentTotals] = defaultdict(SentTotals)  # by member and bucket
 
     def run(self, scenario: str) -> list[dict]:
-        """Play a scenario from the start of all members until they are at rest; return its history."""
+        """Start all members, run a scenario until they are at rest again, and return the history."""
         self._schedule_starts()
         self.simulation.run(JOIN_SECONDS)
-        self.fault_player.note("mark", name="joined")
-        self._sample_shares()
+        self.fault_player.record("mark", name="joined")
+        self._record_share_total()
         steps = scenario_steps(scenario, self.count, self.seed)
         self.fault_player.play(steps)
         self.simulation.run(JOIN_SECONDS + scenario_duration(steps) + SETTLE_SECONDS)
-        self._note_final_views()
+        self._record_final_views()
         return self.fault_player.events + self._sent_events()
 
     def _schedule_starts(self) -> None:
-        spread = KNOWN_START_SPREAD_SECONDS if self.known else START_SPREAD_SECONDS
+        spread = JOINED_START_SPREAD_SECONDS if self.known else START_SPREAD_SECONDS
         for number in range(self.count):
             start_at = spread * Random(f"{self.seed} {number}").random()
             self.simulation.call_at(start_at, lambda number=number: self.fault_player.start(number))
 
-    def _sample_shares(self) -> None:
-        """Note what all members take together of a shared limit, as a part of the whole."""
+    def _record_share_total(self) -> None:
+        """Record the sum of the shares of a common limit that the members take; 1 is the whole limit."""
         total = 0.0
         for number, process in enumerate(self.simulation.processes):
             protocol = process.actor
@@ -115,11 +115,11 @@
                 now = process.local_time(self.simulation.now)
                 fleet_size.update(now, protocol.view.size, protocol.is_view_reliable)
             total += 1 / fleet_size.size
-        self.fault_player.note("shares", total=total)
-        self.simulation.call_at(self.simulation.now + SHARE_SAMPLE_INTERVAL_SECONDS, self._sample_shares)
+        self.fault_player.record("shares", total=total)
+        self.simulation.call_at(self.simulation.now + SHARE_SAMPLE_INTERVAL_SECONDS, self._record_share_total)
 
     def create_actor(self, number: int, start_count: int) -> MembershipProtocol:
-        """Return the protocol of a member, or of the liar."""
+        """Return a new protocol for a member."""
         random = Random(f"{self.seed} {number} {start_count}")
         is_liar = self.liar is not None and number == 0
         protocol_class = self.liar if is_liar else MembershipProtocol
@@ -134,35 +134,35 @@
 
     @staticmethod
     def route(command: Command) -> tuple[int, messages.Message, int] | None:
-        """Return target, message and its size in bytes of a command that sends; None for any other."""
+        """Return target, message and message size in bytes if the command sends; None otherwise."""
         if isinstance(command, SendMessage):
             return command.target, command.message, codec.encoded_size(command.message)
         return None
 
     def on_command(self, now: float, number: int, command: Command) -> None:
-        """Record what a member reports of its view and of itself."""
+        """Record a change of a member's view or of its own status."""
         match command:
             case ViewChanged(changes=changes):
                 names = [(f"n{changed.member}", changed.change.value) for changed in changes]
-                self.fault_player.note("view", who=f"n{number}", changes=names)
+                self.fault_player.record("view", who=f"n{number}", changes=names)
             case StatusChanged(status=status):
-                self.fault_player.note("stand", who=f"n{number}", stand=status.value)
+                self.fault_player.record("stand", who=f"n{number}", stand=status.value)
 
     def on_sent(self, now: float, number: int, size: int) -> None:
-        """Count a datagram that a member has sent."""
+        """Count a datagram that a member sent."""
         sent = self.sent[number, int(now * SENT_BUCKETS_PER_SECOND)]
         sent.total += size
         sent.largest = max(sent.largest, size)
         sent.count += 1
 
-    def _note_final_views(self) -> None:
-        names_by_view: dict[tuple[int, ...], list[str]] = {}  # equal views share one list: they are large
+    def _record_final_views(self) -> None:
+        names_by_view: dict[tuple[int, ...], list[str]] = {}  # equal views share a list, as they are large
         for number, process in enumerate(self.simulation.processes):
             if process.actor is None:
                 continue
             members = tuple(alive.member for alive in process.actor.view.alive_members())
             names = names_by_view.setdefault(members, [f"n{member}" for member in members])
-            self.fault_player.note("held", who=f"n{number}", view=names)
+            self.fault_player.record("held", who=f"n{number}", view=names)
 
     def _sent_events(self) -> list[dict]:
         return [
--- a/applevale/simulation/results.py
+++ b/applevale/simulation/results.py
@@ -1,4 +1,4 @@
-"""Results of experiments: read, compared seed by seed, and drawn."""
+"""Reading, comparison and charts of the results of experiments."""
 
 from __future__ import annotations
 
@@ -9,28 +9,31 @@
 
 from ..errors import AppleValeError
 
-INPUTS = ("code", "version", "settings", "size", "case", "seed")
-CONFIDENCE = 0.95
+INPUT_COLUMNS = ("code", "version", "settings", "size", "case", "seed")
+CONFIDENCE_LEVEL = 0.95
 
 Row = dict[str, str]
 
 
 class ExperimentError(AppleValeError, ValueError):
-    """The experiment file, or the results, cannot be used; the text names the place."""
+    """An experiment file or a results file is invalid; the text names the place."""
 
 
 @dataclass(frozen=True)
 class Comparison:
-    """A figure in two sets of results, over the pairs with the same case, size and seed.
+    """A comparison of one figure in two sets of results, for one case and size.
+
+    Pairs of runs with the same seed are compared.
+
 
     Attributes:
         case: Name of the scenario.
-        size: Members.
+        size: Number of members.
         figure: Name of the figure.
-        pair_count: Pairs that were compared.
-        mean: Mean of the second less the first.
-        low: Lower bound of the mean, at 95% confidence by Student's t over the pairs.
-        high: Upper bound, likewise.
+        pair_count: Number of pairs compared.
+        mean: Mean of the differences, second minus first.
+        low: Lower bound of the 95% confidence interval of the mean, by Student's t distribution.
+        high: Upper bound of this interval.
     """
 
     case: str
@@ -43,28 +46,28 @@
 
 
 def read_results(path: Path) -> list[Row]:
-    """Read `results.csv`; a last row that was cut off by a stop is left out.
+    """Read the rows of a results file, without a last row that an interruption truncated.
 
     Raises:
-        ExperimentError: The file cannot be read, or holds no results of an experiment.
+        ExperimentError: The file cannot be read, or is not a results file.
     """
     try:
         with open(path, newline="", encoding="utf-8") as file:
             rows = list(csv.DictReader(file))
     except OSError as error:
         raise ExperimentError(f"{path}: {error.strerror}") from None
-    if rows and not set(INPUTS) <= rows[0].keys():
-        raise ExperimentError(f"{path}: no results of an experiment")
+    if rows and not set(INPUT_COLUMNS) <= rows[0].keys():
+        raise ExperimentError(f"{path}: not a results file; expected the columns {', '.join(INPUT_COLUMNS)}")
     return [row for row in rows if None not in row and None not in row.values()]
 
 
 def figures(rows: list[Row]) -> list[str]:
     """Return the names of all figures, in the order of the columns."""
-    return [name for name in rows[0] if name not in INPUTS] if rows else []
+    return [name for name in rows[0] if name not in INPUT_COLUMNS] if rows else []
 
 
 def compare(first_rows: list[Row], second_rows: list[Row], names: list[str]) -> list[Comparison]:
-    """Compare figures of two sets of results, pair by pair, for each case and size."""
+    """Compare figures of two sets of results by seed, for each case and size."""
     first = _by_run(first_rows)
     second = _by_run(second_rows)
     differences: dict[tuple[str, str, str], list[float]] = defaultdict(list)
@@ -85,12 +88,12 @@
     mean = sum(values) / len(values)
     low = high = mean
     if len(values) > 1 and len(set(values)) > 1:
-        low, high = stats.t.interval(CONFIDENCE, len(values) - 1, loc=mean, scale=stats.sem(values))
+        low, high = stats.t.interval(CONFIDENCE_LEVEL, len(values) - 1, loc=mean, scale=stats.sem(values))
     return Comparison(case, size, name, len(values), mean, float(low), float(high))
 
 
 def chart(rows: list[Row], name: str, path: Path) -> None:
-    """Draw one figure over the sizes: for each version and case, the mean and the greatest over the seeds."""
+    """Draw a chart of one figure over the sizes: mean and maximum over the seeds, by version and case."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -100,9 +103,9 @@
     for (version, case), values_by_size in sorted(_values_by_series(rows, name).items()):
         sizes = sorted(values_by_size)
         means = [sum(values_by_size[size]) / len(values_by_size[size]) for size in sizes]
-        greatest = [max(values_by_size[size]) for size in sizes]
+        maxima = [max(values_by_size[size]) for size in sizes]
         (plotted,) = axes.plot(sizes, means, marker="o", label=f"{version}, {case}")
-        axes.fill_between(sizes, means, greatest, alpha=0.1, color=plotted.get_color())
+        axes.fill_between(sizes, means, maxima, alpha=0.1, color=plotted.get_color())
     axes.set(xlabel="members", ylabel=name, xscale="log", ylim=(0, None))
     axes.legend(fontsize="small")
     drawing.savefig(path, bbox_inches="tight")
--- a/applevale/simulation/runners.py
+++ b/applevale/simulation/runners.py
@@ -1,4 +1,4 @@
-"""The runners of experiments, by the name under which an experiment file asks for them."""
+"""The state machines that experiments can run, by their names in an experiment file."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from .membership import VERSIONS, SimulatedFleet
 from .results import ExperimentError
 
-# Members from which all know each other from the start: the cost of a real start grows with the square.
-MIN_KNOWN_FLEET = 500
+# From this size on, all members know each other from the start: the cost of joining grows with its square.
+MIN_START_JOINED_FLEET = 500
 
-# Keys of an experiment's settings, and the fields of ProtocolConfig and SuspicionTimeouts that they set.
+# The fields of ProtocolConfig and SuspicionTimeouts, by the keys of an experiment's settings.
 CONFIG_FIELDS = {
     "probe": "probe_interval",
     "again": "retry_after",
@@ -52,22 +52,24 @@
 }
 
 
-def membership(version: str, settings: dict[str, float], size: int, case: str, seed: int) -> dict[str, float]:
-    """Play a scenario on a fleet and return its figures by name.
+def run_membership(
+    version: str, settings: dict[str, float], size: int, case: str, seed: int
+) -> dict[str, float]:
+    """Run a scenario on a simulated fleet, and return the figures by name.
 
     Args:
-        version: A key of `VERSIONS`, before a colon where one is in it.
-        settings: Parameters that differ from the version's, by the keys of `CONFIG_FIELDS` and
+        version: A key of `VERSIONS`, optionally followed by a colon and any text.
+        settings: Parameters that replace those of the version, by the keys of `CONFIG_FIELDS` and
             `TIMEOUT_FIELDS`.
-        size: Members.
-        case: The scenario.
+        size: Number of members.
+        case: Name of the scenario.
         seed: Seed of all random draws.
     """
     config = VERSIONS[version.partition(":")[0]]
     changed_timeouts = {TIMEOUT_FIELDS[key]: settings[key] for key in settings if key in TIMEOUT_FIELDS}
     changes = {CONFIG_FIELDS[key]: settings[key] for key in settings if key in CONFIG_FIELDS}
     config = replace(config, timeouts=replace(config.timeouts, **changed_timeouts), **changes)
-    fleet = SimulatedFleet(size, seed, config, known=size >= MIN_KNOWN_FLEET)
+    fleet = SimulatedFleet(size, seed, config, known=size >= MIN_START_JOINED_FLEET)
     return _flatten(membership_checker.figures(History(fleet.run(case))))
 
 
@@ -82,20 +84,23 @@
 
 
 def check_membership(versions: dict[str, dict[str, float]], cases: list[str]) -> None:
-    """Check the versions and scenarios that an experiment names.
+    """Check the versions, settings and scenarios of an experiment.
 
     Raises:
-        ExperimentError: One of them, or a setting, does not exist.
+        ExperimentError: One of them does not exist.
     """
     for name, settings in versions.items():
         if name.partition(":")[0] not in VERSIONS:
-            raise ExperimentError(f"versions: {name!r} is none of {', '.join(VERSIONS)}")
+            raise ExperimentError(f"versions: {name!r} is unknown; expected one of: {', '.join(VERSIONS)}")
         for key in settings:
             if key not in TIMEOUT_FIELDS and key not in CONFIG_FIELDS:
-                raise ExperimentError(f"versions.{name}: {key!r} is no setting")
+                known_keys = ", ".join((*CONFIG_FIELDS, *TIMEOUT_FIELDS))
+                raise ExperimentError(
+                    f"versions.{name}: the setting {key!r} is unknown; expected one of: {known_keys}"
+                )
     for case in cases:
         if case not in SCENARIOS or case == "upgrade":
-            raise ExperimentError(f"cases: {case!r} is no scenario of the simulation")
+            raise ExperimentError(f"cases: {case!r} is unknown, or not supported by the simulation")
 
 
 @dataclass(frozen=True)
@@ -103,12 +108,12 @@
     """A state machine that experiments can run.
 
     Attributes:
-        run: Plays one run and returns its figures.
-        check: Checks versions and cases; raises `ExperimentError`.
+        run: Performs one run and returns its figures.
+        check: Checks versions and cases; raises `ExperimentError` if one is invalid.
     """
 
     run: Runner
     check: Callable[[dict[str, dict[str, float]], list[str]], None]
 
 
-RUNNERS = {"membership": Machine(membership, check_membership)}
+RUNNERS = {"membership": Machine(run_membership, check_membership)}
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a grid is played, resumed and compared; what cannot be used is named."""
+"""Experiments: grids are run, resumed and compared; errors in an experiment file name the place."""
 
 import json
 from dataclasses import fields
@@ -29,7 +29,7 @@
     return str(path)
 
 
-def test_a_grid_is_played_once_and_goes_on_after_a_stop(tmp_path):
+def test_a_grid_runs_once_and_resumes_after_an_interruption(tmp_path):
     path, folder = write(tmp_path), str(tmp_path / "out")
     first = run("experiment", "run", path, folder, "--jobs", "2")
     assert first.exit_code == 0 and "4 runs played, 0 were there" in first.output
@@ -39,7 +39,9 @@
     }
     assert all(float(row["missed"]) == 0 and float(row["agree_s_max"]) > 0 for row in rows)
     stored = tmp_path / "out" / "results.csv"
-    stored.write_text("\n".join(stored.read_text().splitlines()[:-1]) + "\n")  # stopped before the last
+    stored.write_text(
+        "\n".join(stored.read_text().splitlines()[:-1]) + "\n"
+    )  # as if interrupted before the last run
     again = run("experiment", "run", path, folder)
     assert "1 runs played, 3 were there" in again.output
     picture = tmp_path / "agree.png"
@@ -47,7 +49,7 @@
     assert picture.read_bytes().startswith(b"\x89PNG")
 
 
-def test_two_sets_of_results_are_compared_seed_by_seed_with_bounds():
+def test_two_sets_of_results_are_compared_by_seed_with_a_confidence_interval():
     def rows(values):
         return [
             {"case": "c", "size": "5", "seed": str(seed), "x": str(value)}
@@ -62,7 +64,7 @@
     assert (same.mean, same.low, same.high) == (1.0, 1.0, 1.0)
 
 
-def test_a_bad_experiment_is_one_line_that_names_the_place(tmp_path):
+def test_an_invalid_experiment_is_reported_in_one_line_with_the_place(tmp_path):
     for change, named in (
         ({"sizes": [0]}, "$.sizes[0]"),
         ({"machine": "kettle"}, "kettle"),
@@ -76,7 +78,7 @@
     assert result.exit_code == 2 and "results.csv" in result.output
 
 
-def test_members_prints_the_last_views_of_a_log(tmp_path):
+def test_members_prints_the_last_view_of_each_instance_in_a_log(tmp_path):
     log = tmp_path / "log"
     log.write_text(
         "plain line\n"
@@ -96,7 +98,7 @@
     assert run("members", str(empty)).exit_code == 2
 
 
-def test_each_parameter_of_membership_has_one_key_in_an_experiment():
+def test_each_membership_parameter_has_exactly_one_experiment_key():
     keys = [field.name for field in fields(ProtocolConfig) if field.name != "timeouts"]
     assert sorted(runners.CONFIG_FIELDS.values()) == sorted(keys)
     assert sorted(runners.TIMEOUT_FIELDS.values()) == sorted(
