--- a/applevale/harness/fault_executor.py
+++ b/applevale/harness/fault_executor.py
@@ -142,6 +142,7 @@
             await self._restart(instance, "term", restart_after)
 
     async def _upgrade(self, instance: FleetInstance, overlap: float) -> None:
+        """Start a new process beside the old one, and terminate the old one `overlap` seconds later."""
         async with instance.lifecycle_lock:
             former = instance.program.process
             instance.ended_at.append(self.loop.time())
--- a/applevale/harness/fleet_plan.py
+++ b/applevale/harness/fleet_plan.py
@@ -22,7 +22,7 @@
         engine_connects_per_second: Limit on the connections per second to one engine, over the whole
             fleet; 0 sets no limit.
         store_snapshots: Whether instances store snapshots of the engine list.
-        schedule: Fault steps for the scenario `play_schedule`; empty: they are drawn from the seed.
+        schedule: Fault steps for the scenario `scheduled_faults`; empty: they are drawn from the seed.
         with_membership: Whether instances run the membership protocol; a UDP proxy forwards its datagrams.
         with_proxies: Whether instances reach engines and registry through TCP proxies, which apply faults.
         checkout: Folder of another checkout whose application is run, for a baseline.
--- a/applevale/harness/ops/__init__.py
+++ b/applevale/harness/ops/__init__.py
@@ -25,7 +25,7 @@
 """
 
 from ..ports import free_address
-from .admin_client import call
+from .admin_client import call_admin_api
 from .runner import run
 
-__all__ = ["call", "free_address", "run"]
+__all__ = ["call_admin_api", "free_address", "run"]
--- a/applevale/harness/ops/admin_client.py
+++ b/applevale/harness/ops/admin_client.py
@@ -10,7 +10,7 @@
 READY_POLL_INTERVAL_SECONDS = 0.05
 
 
-async def call(address: str, method: str, path: str, body: dict | None = None) -> tuple[int, dict]:
+async def call_admin_api(address: str, method: str, path: str, body: dict | None = None) -> tuple[int, dict]:
     """Call the admin API; return status and JSON body, or (0, {}) if no response arrived in time."""
     host, _, port = address.rpartition(":")
     data = b"" if body is None else json.dumps(body).encode()
@@ -32,7 +32,7 @@
     loop = asyncio.get_running_loop()
     end = loop.time() + timeout
     while loop.time() < end:
-        status, _ = await call(address, "GET", "/ready")
+        status, _ = await call_admin_api(address, "GET", "/ready")
         if status == HTTPStatus.OK:
             return True
         await asyncio.sleep(READY_POLL_INTERVAL_SECONDS)
--- a/applevale/harness/ops/evaluation.py
+++ b/applevale/harness/ops/evaluation.py
@@ -13,8 +13,8 @@
 from .environment import OperationsEnvironment
 
 MAX_CUT_REQUESTS = 2  # in an upgrade
-METRICS_TOLERANCE = 0.01
-METRICS_TOLERANCE_REQUESTS = 3
+METRICS_TOLERANCE_SHARE = 0.01
+METRICS_TOLERANCE_REQUESTS = 3  # the larger of the two tolerances applies
 
 
 def answered_all(counters: dict) -> bool:
@@ -29,7 +29,7 @@
 
 
 def cut_requests(sent_requests: Iterable[SentRequest]) -> int:
-    """Return for how many requests the connection was closed before the answer."""
+    """Return how many requests lost their connection before they were answered."""
     return sum(sent.disconnected_at > 0 for sent in sent_requests)
 
 
@@ -111,7 +111,7 @@
     @property
     def are_metrics_accurate(self) -> bool:
         """Whether the metrics agree with the clients' own count, within the tolerance."""
-        tolerance = max(METRICS_TOLERANCE_REQUESTS, METRICS_TOLERANCE * self.clients_served)
+        tolerance = max(METRICS_TOLERANCE_REQUESTS, METRICS_TOLERANCE_SHARE * self.clients_served)
         return abs(self.metrics_served - self.clients_served) <= tolerance
 
     def add_requests(self, environment: OperationsEnvironment, ejected: int, late_ejected: int) -> None:
--- a/applevale/harness/ops/script.py
+++ b/applevale/harness/ops/script.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 
 from ...discovery.endpoints import format_instance_id
-from .admin_client import call, wait_until_ready
+from .admin_client import call_admin_api, wait_until_ready
 from .environment import OperationsEnvironment
 from .evaluation import Observations, cut_requests, served_lookups
 
@@ -21,12 +21,12 @@
 
 async def _disable(admin_address: str, engine_id: str) -> int:
     """Eject an engine, and return the HTTP status of the call."""
-    status, _ = await call(admin_address, "POST", "/engines/disable", {"host": engine_id})
+    status, _ = await call_admin_api(admin_address, "POST", "/engines/disable", {"host": engine_id})
     return status
 
 
 async def _enable(admin_address: str, engine_id: str) -> None:
-    await call(admin_address, "POST", "/engines/enable", {"host": engine_id})
+    await call_admin_api(admin_address, "POST", "/engines/enable", {"host": engine_id})
 
 
 def _engine_id(index: int) -> str:
@@ -75,16 +75,16 @@
 
     async def _drain(self) -> None:
         admin = self.environment.first_admin
-        await call(admin, "POST", "/drain")
-        status, _ = await call(admin, "GET", "/ready")
+        await call_admin_api(admin, "POST", "/drain")
+        status, _ = await call_admin_api(admin, "GET", "/ready")
         self.observed.ready_status_in_drain = status
         await asyncio.sleep(self.phase_seconds)
-        await call(admin, "POST", "/undrain")
+        await call_admin_api(admin, "POST", "/undrain")
         self.observed.undrained = await wait_until_ready(admin, UNDRAIN_TIMEOUT_SECONDS)
         await asyncio.sleep(self.phase_seconds / 2)
 
     async def _compare_metrics(self) -> None:
-        _, metrics = await call(self.environment.first_admin, "GET", "/metrics")
+        _, metrics = await call_admin_api(self.environment.first_admin, "GET", "/metrics")
         self.observed.clients_served = served_lookups(self.environment.clients.sent)
         self.observed.metrics_served = metrics.get("replies", {}).get("lookup", {}).get("success", -1)
 
--- a/applevale/harness/scenarios/cases.py
+++ b/applevale/harness/scenarios/cases.py
@@ -14,10 +14,10 @@
     engine_network_outage,
     membership_scenario,
     overload_cold_engines,
-    play_schedule,
     repeat_rejected_requests,
     restart_from_snapshots,
     rolling_restart,
+    scheduled_faults,
 )
 from .registry_scenarios import (
     cold_start,
@@ -136,7 +136,7 @@
         _snapshot_limits,
         {"store_snapshots": True},
     ),
-    "schedule": Case(play_schedule, _no_limits, {"with_proxies": True}),
+    "schedule": Case(scheduled_faults, _no_limits, {"with_proxies": True}),
     "engines-cut": Case(engine_network_outage, _connect_limits, {"with_proxies": True}),
 }
 
--- a/applevale/simulation/experiment.py
+++ b/applevale/simulation/experiment.py
@@ -121,7 +121,7 @@
     runner: Runner,
     folder: Path,
     process_count: int | None = None,
-    watch: Callable[[Iterable, int], Iterable] = lambda done, total: done,
+    track_progress: Callable[[Iterable, int], Iterable] = lambda done, total: done,
 ) -> RunCounts:
     """Run all jobs of a grid whose results are not in the folder yet.
 
@@ -130,7 +130,7 @@
         runner: Performs one run; called in another process.
         folder: Folder of the results; created if it does not exist.
         process_count: Number of processes; None: one for each core.
-        watch: Wraps the iterable of finished runs, given with their total number, for a progress bar.
+        track_progress: Wraps the iterable of finished runs, given with their number; for a progress bar.
 
     Raises:
         ExperimentError: The results in the folder cannot be read.
@@ -146,7 +146,7 @@
         open(path, "a", newline="", encoding="utf-8") as file,
     ):
         running = {_submit(pool, runner, job): job for job in pending}
-        finished = watch(as_completed(running), len(running))
+        finished = track_progress(as_completed(running), len(running))
         _append_rows(file, (running[future].inputs(code) | future.result() for future in finished))
     return RunCounts(len(pending), len(known_keys))
 
--- a/tests/test_rig_ops.py
+++ b/tests/test_rig_ops.py
@@ -41,8 +41,8 @@
     started = []
 
     class RecordedProcess(environment.ManagedProcess):
-        async def start(self, *entry, env=None):
-            await super().start(*entry, env=env)
+        async def start(self, *entry_point, env=None):
+            await super().start(*entry_point, env=env)
             started.append(self.process)
 
     def fail(address, timeout):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -65,7 +65,7 @@
 
 def call_admin(address, method, path, body=None):
     """Return the status and body of the response to an admin API request."""
-    return asyncio.run(ops.call(address, method, path, body))
+    return asyncio.run(ops.call_admin_api(address, method, path, body))
 
 
 def admin_status(address, method, path, body=None):
