--- a/applevale/harness/fleet_engines.py
+++ b/applevale/harness/fleet_engines.py
@@ -97,8 +97,8 @@
     async def drain(self, count: int) -> None:
         """Drain the busiest engines together, then make them ready again; repeat this `count` times.
 
-        Each time, that is a tenth of the engines, or fewer: the registry sends each change to each instance,
-        and the number of these messages is limited by `MAX_WATCH_MESSAGES`.
+        At most a tenth of the engines are drained together, but at least one. There may be fewer, because the
+        registry sends each change to each instance, and `MAX_WATCH_MESSAGES` limits these messages.
         """
         for _ in range(count):
             busiest = self._busiest()
@@ -122,7 +122,7 @@
         return order[: max(1, count)]
 
     def digest(self) -> int:
-        """Return the digest of the engine list in the registry, computed independently of the application."""
+        """Return the digest of the engine list in the registry, without using the application's digest code."""
         lines = sorted(
             f"{number + 1:08x} {state.value} {self.addresses[number]}"
             for number, state in self.states.items()
--- a/applevale/simulation/experiment.py
+++ b/applevale/simulation/experiment.py
@@ -2,7 +2,7 @@
 
 This module is independent of what is simulated: a runner takes a version with its settings, a size, a case
 and a seed, and returns figures by name. Each row of `results.csv` holds the inputs of its run and a digest of
-the code, so that results of different code are never mixed.
+the code that ran, so that results of other code are not taken for those of the present code.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class RunCounts:
-    """The numbers of runs that a call of `run` completed and skipped.
+    """The numbers of runs that a call of `run` completed, and of results that it found.
 
     Attributes:
         completed: Runs completed by the call.
