--- a/applevale/harness/fleet_engines.py
+++ b/applevale/harness/fleet_engines.py
@@ -122,7 +122,7 @@
         return order[: max(1, count)]
 
     def digest(self) -> int:
-        """Return the digest of the engine list in the registry, without use of the application's own code."""
+        """Return the digest of the engine list in the registry, without the application's digest code."""
         lines = sorted(
             f"{number + 1:08x} {state.value} {self.addresses[number]}"
             for number, state in self.states.items()
