--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -30,7 +30,8 @@
 MAX_READ_DELAY_SECONDS = 0.1  # largest read delay that is subtracted from the timeout of a request
 
 # A batch that is later than this is put off until sockets have been read for some loop iterations. Otherwise
-# requests would be sent for clients that have disconnected, and to engines whose drain is still unread.
+# requests would be sent for clients that have disconnected and to engines that have begun to drain, because
+# neither has been read yet.
 READ_FIRST_LATENESS_SECONDS = 0.06
 READ_FIRST_ITERATIONS = 4
 
@@ -77,7 +78,7 @@
         self.action_handlers: dict[int, ActionHandler] = {}
         self.last_request_number = 0
         self.event_queue = EventQueue()
-        self.batch_due_at = 0.0  # by the loop's clock
+        self.batch_due_at = 0.0  # time by the event loop's clock
         self.batch_interval = MIN_BATCH_INTERVAL_SECONDS
         self.batch_lateness = DecayingDuration()
         self.prober = EngineProber(engine_pool, self.clock, self.submit, counters)
@@ -165,7 +166,7 @@
             actions = self.controller.handle(self.now(), events)
         except Exception:  # the requests of this batch are ended by their deadlines, others go on
             self.counters["module_errors"] += 1
-            log_event("module", traceback.format_exc())
+            log_event("policy", traceback.format_exc())
             return
         for action in actions:
             self._execute(action)
@@ -180,13 +181,13 @@
             self.batch_lateness.record(lateness, self.now())
         if lateness > LOGGED_LATENESS_SECONDS:
             self.counters["stalls"] += 1
-            log_event("loop", f"a batch ran {lateness * 1000:.0f} ms late")
+            log_event("event_loop", f"a batch ran {lateness * 1000:.0f} ms late")
 
     def _execute(self, action: api.Action) -> None:
         match action:
             case api.Send() | api.SetResources() | api.Reject() | api.Fail() | api.Cancel():
                 handler = self.action_handlers.get(action.request_id)
-                if handler is not None:  # else the client has gone, and its attempt was cancelled
+                if handler is not None:  # there is none if the client has gone; its attempt was cancelled
                     handler(action)
             case api.SetTimer():
                 loop = asyncio.get_running_loop()
@@ -194,7 +195,7 @@
             case api.Probe():
                 self.prober.probe(action.engine_id)
             case api.Log():
-                log_event("module", action.text)
+                log_event("policy", action.text)
             case _:
                 # Subscriptions, fetches and peer messages: this program gets the engine list without asking,
                 # and sends peers load reports only.
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -19,9 +19,11 @@
         self._outliers = outliers
         self._admission = admission
         self._load = load
-        rules = context.settings
-        self._retry_budget = rate_limits.RatioBudget(rules.budget_span, rules.budget_share, rules.budget_free)
-        shortest_target = min(spec.aim for spec in rules.classes)
+        settings = context.settings
+        self._retry_budget = rate_limits.RatioBudget(
+            settings.budget_span, settings.budget_share, settings.budget_free
+        )
+        shortest_target = min(spec.aim for spec in settings.classes)
         self._min_overdue_time = config.MIN_OVERDUE_TARGET_SHARE * shortest_target
         self._delivery_time = 0.0  # time from the end of the last answered request to its delivery
         self.pending: dict[int, PendingRequest] = {}  # requests by id
@@ -88,7 +90,7 @@
         engine.cold_budget.level -= pending.work
         context.zone_router.on_send(context.now, engine.entry.zone, pending.work)
         self._load.threads_in_flight += spec.threads
-        timeout = 0.0  # as long as the client waits
+        timeout = 0.0  # 0 means no limit but the client's timeout
         if self._may_retry(pending) and not context.settings.may_cancel:
             max_run_time = config.ATTEMPT_TIMEOUT_FACTOR * self.overdue_after(attempt)
             timeout = min(max_run_time, pending.deadline - context.now)
@@ -184,7 +186,11 @@
             self.key_queues.blocks.discard(event.order_key, event.request_id)
 
     def sweep(self, stall: float) -> None:
-        """Answer requests near their deadlines, by the last stall (s), and cancel overdue attempts."""
+        """Answer requests near their deadlines, and cancel overdue attempts.
+
+        Args:
+            stall: Duration (s) of a recent stall of this instance, which makes final answers due earlier.
+        """
         for pending in list(self.pending.values()):
             if self._context.now > pending.final_answer_at(stall) and not pending.is_streaming:
                 self.reject_or_fail(pending)
@@ -199,7 +205,7 @@
         running_for = self._context.now - pending.attempts[-1].running_since if pending.in_flight else None
         run_time = pending.expected_run_time()
         duration = run_time + self._delivery_time
-        needed_time = config.ORDER_KEY_RUN_TIMES * run_time
+        needed_time = config.TURN_TIME_FACTOR * run_time
         return containers.TurnForecast(duration, needed_time, pending.deadline, running_for)
 
     def overdue_after(self, attempt: Attempt) -> float:
@@ -221,7 +227,7 @@
             self.reject_or_fail(pending)  # its answer may never come, and others of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
         if is_silent and not self._outliers.probe(engine):
-            self._outliers.eject(engine, "silent")
+            self._outliers.eject(engine, "no answer")
 
     def _cancel_to_retry(self, attempt: Attempt) -> None:
         """Cancel an attempt if its request can have another one in time."""
--- a/applevale/server/connection.py
+++ b/applevale/server/connection.py
@@ -50,7 +50,7 @@
 
     Attributes:
         sock: The connected socket.
-        arrival_source: The socket as a source of ordered requests.
+        arrival_source: The socket, to determine the order of arrivals.
         write_queue: Responses that wait to be written.
         calls: Calls that have no response yet, by message id.
         incomplete_bytes: Number of received bytes that belong to an incomplete message.
@@ -80,7 +80,7 @@
         self.calls: dict[int, OpenCall] = {}
         self.incomplete_bytes = 0
         self.invalid_requests = 0
-        self._earliest_arrival = earliest_arrival  # of the bytes that were read last
+        self._earliest_arrival = earliest_arrival  # earliest arrival time of the bytes that were read last
         self._table = table
         self._driver = driver
         self._counters = counters
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -65,7 +65,7 @@
 
 def call_admin(address, method, path, body=None):
     """Return the status and body of the response to an admin API request."""
-    return asyncio.run(ops.call(address, method, path, body))
+    return asyncio.run(ops.call_admin_api(address, method, path, body))
 
 
 def admin_status(address, method, path, body=None):
@@ -121,7 +121,8 @@
         assert admin_status(first_admin, "POST", "/engines/disable", {"host": engine_id}) == 200
         wait_until(lambda: ejected_engine_count(second_admin) == 1)
         monkeypatch.setenv("BALANCER_CONTROL", other_admin)
-        other_instance = Instance(tmp_path)  # on another address, with its ejection file in the same folder
+        # This instance has another address, but its ejection file is in the same folder.
+        other_instance = Instance(tmp_path)
         assert ejected_engine_count(other_admin) == 0
         assert admin_status(second_admin, "POST", "/engines/enable", {"host": engine_id}) == 200
         wait_until(lambda: ejected_engine_count(first_admin) == 0)
