--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -253,6 +253,9 @@
     event = parse_event("n3 listens on 127.0.0.1:7001")
     assert event == {"event": "listening", "host": "127.0.0.1", "port": 7001}
     assert parse_event("registry: the list is not confirmed, on_stale is 'hold'")["confirmed"] is False
+    present = "registry: the list is confirmed at revision 7, after 1.250 s without confirmation"
+    assert parse_event(present) == {"event": "list", "confirmed": True}
+    assert parse_event("registry: confirmed at revision 7") == {"event": "list", "confirmed": True}
     assert parse_event('{"event": "list", "confirmed": true}')["confirmed"] is True
     assert parse_event("{broken")["event"] == "line"
 
