--- a/applevale/policy/__init__.py
+++ b/applevale/policy/__init__.py
@@ -1,4 +1,7 @@
-"""All decisions of applevale (docs/design.md); the types that it takes and gives are in applevale/api."""
+"""The decision module: which requests are admitted, when and on which engines they run (docs/design.md).
+
+Its input and output types are in `applevale.api`.
+"""
 
 from .controller import AdmissionController
 
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -9,12 +9,12 @@
 
 
 class AttemptManager:
-    """Owns the requests that have not ended. All rules of attempts are in `may_attempt` and `can_run_on`."""
+    """Owns the requests that have not ended; `may_attempt` and `can_run_on` hold all rules for attempts."""
 
     def __init__(
         self, context: Context, outliers: OutlierDetector, admission: Admission, load: LoadEstimator
     ):
-        """Create it without a request."""
+        """Create a manager without requests."""
         self._context = context
         self._outliers = outliers
         self._admission = admission
@@ -27,6 +27,7 @@
         self._min_overdue_time = config.MIN_OVERDUE_TARGET_SHARE * shortest_target
         self._delivery_time = 0.0  # time from the end of the last answered request to its delivery
         self.pending: dict[int, PendingRequest] = {}  # requests by id
+        # Requests of ordered classes, by order key.
         self.key_queues = containers.SerialQueues(lambda item: item.is_finished and not item.in_flight)
 
     def register(self, pending: PendingRequest) -> None:
@@ -230,7 +231,7 @@
             self._outliers.eject(engine, "no answer")
 
     def _cancel_to_retry(self, attempt: Attempt) -> None:
-        """Cancel an attempt if its request can have another one in time."""
+        """Cancel an attempt if there is time for another one and the rules allow it."""
         pending = attempt.pending
         has_time = pending.deadline - self._context.now >= pending.expected_run_time()
         if has_time and self._may_retry(pending) and self._retry_budget.allows_extra(self._context.now):
@@ -274,7 +275,7 @@
         pending.attempts.clear()  # breaks a reference cycle, which only the garbage collector would free
         gap = self._context.settings.order_gap
         if pending.spec.is_ordered and request.order_key and gap:
-            # The next request of its key waits until this answer is delivered, which it could overtake.
+            # The next request of its key waits until this answer is delivered, or it could overtake it.
             blocker = None if pending.is_answered else request.request_id
             self.key_queues.pause(request.order_key, self._context.now + gap, blocker)
         self.key_queues.drop_ended(request.order_key)
--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -37,7 +37,7 @@
 
 # Load reports, the loads estimated from them, and limits on the loads of engines.
 REPORT_DECAY_SECONDS = 3.0  # time constant of reported loads; as long as a few of the longest queries
-REPORT_DECAY_MANY_PEERS_SECONDS = 0.8  # decay time where many peers forward reports
+REPORT_DECAY_MANY_PEERS_SECONDS = 0.8  # the time constant where many peers forward reports
 PEER_SEND_DECAY_SECONDS = 0.6  # time until load reports include what peers have sent
 OWN_LOAD_DECAY_SECONDS = 10.0
 REPORT_FRESH_SECONDS = 0.4  # an engine whose last report is not older needs no probe
@@ -64,7 +64,7 @@
 
 # Work that is sent to cold engines.
 WARM_UP_MARGIN = 1.05  # factor to the announced warm-up time
-COLD_CAPACITY_FACTOR = 0.34  # factor to the setting `fall_multiple`, which is too high
+COLD_CAPACITY_FACTOR = 0.34  # factor to the setting `fall_multiple`, which alone admits too much work
 COLD_REQUEST_SHARE = 0.4  # share of a cold engine's budget for one window that one request may take
 COLD_BURST_DIVISOR = 4  # the most unused budget that is kept is that of one window divided by this
 
@@ -106,9 +106,9 @@
 TURN_TIME_FACTOR = 4.0  # multiple of the run time that a turn should leave, since run times scatter
 MIN_RETRY_AFTER_SECONDS = 0.3
 MAX_RETRY_AFTER_SECONDS = 1.5
-FINAL_ANSWER_MARGIN_SECONDS = 0.06  # time from the final answer to the client's timeout
+FINAL_ANSWER_MARGIN_SECONDS = 0.06  # a final answer is due this long before the client's timeout
 MAX_STALL_MARGIN_SHARE = 0.3  # share of a request's timeout that recent stalls may add to that margin
-TENANT_BURST_REQUESTS = 1.5  # added to a tenant's quota for one second
+TENANT_BURST_REQUESTS = 1.5  # requests that a tenant may save up beyond its quota for one second
 
 # Timers and stalls of this instance, and the subscription to the engine list.
 SWEEP_INTERVAL_SECONDS = 0.05
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -64,7 +64,7 @@
         return self.context.actions
 
     def _discount_stall(self, stall: float) -> None:
-        """Do not count a stall of this instance as silence of engines."""
+        """Shift start times by a stall (s) of this instance, which must not count as silence of engines."""
         for engine in self.engines.values():
             engine.probed_at += stall
             for attempt in engine.attempts.items:
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -1,4 +1,4 @@
-"""Estimates the load of engines, from own attempts and from reports of what other instances send there."""
+"""Estimates the load of engines from own attempts, load reports, and what peers say they have sent."""
 
 from .. import api, estimators
 from . import config
@@ -20,7 +20,7 @@
         self.thread_limits: list[float] = []  # limits on an engine's load, by the priority of the request
 
     def start_batch(self) -> None:
-        """Begin a batch of events: drop cached loads and sample the own load."""
+        """Begin a batch of events: drop cached loads and sample the load by this instance."""
         self._peer_load_by_engine.clear()
         self._own_threads.add(self._context.now, self.threads_in_flight)
 
@@ -71,7 +71,7 @@
         return engine.memory_mb * (1 - peer_share) - engine.attempts.memory
 
     def on_peer_report(self, event: api.PeerLoadReport) -> None:
-        """Add what a peer has sent to an engine, and the load report that the peer got from there."""
+        """Add what a peer has sent to an engine, and the load report that the peer received from it."""
         if engine := self._context.engines.get(event.engine_id):
             engine.peer_sends.add(self._context.now, event.sent_threads / engine.cores)
             self._fleet_peer_sends.add(self._context.now, event.sent_threads)
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -126,7 +126,7 @@
 
 
 class Engine:
-    """One engine: own attempts in flight, what load reports say, and health."""
+    """One engine: the attempts of this instance in flight there, its reported load, and its health."""
 
     def __init__(self, entry: api.EngineEntry, context: Context, initial_debt: float):
         """Create an engine that was added to the list; `initial_debt` is passed on to `reset`."""
@@ -150,8 +150,9 @@
         self.health = circuit_breaker.CircuitBreaker(config.EJECTION_SECONDS, config.MAX_EJECTION_SECONDS)
         self.reported_at = -inf
         self.succeeded_at = -inf
-        self.probed_at = inf  # infinite without a probe in flight
-        self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)  # accrues from now on
+        self.probed_at = inf  # time of the probe in flight; infinite if there is none
+        # Work (s) that the engine may get while it warms up.
+        self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)
 
     def runs_table_load(self, table_group: float) -> bool:
         """Return whether an attempt of this instance loads the tables there, which blocks their readers."""
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -20,7 +20,7 @@
 
 
 class Candidate(NamedTuple):
-    """An engine that may get a request; the least one, by the fields in their order, is the best."""
+    """An engine that may get a request; candidates compare as tuples, and the smallest is the best."""
 
     is_last_resort: bool  # the request was tried there, or the engine is on probation
     zone_tier: int
@@ -128,7 +128,7 @@
         return Route(self._context.engines[best.engine_id])
 
     def enqueue(self, pending: PendingRequest) -> None:
-        """Add a request to the wait queue, or answer it if the queue is full."""
+        """Add a request to the wait queue, or reject or fail it if the queue is full."""
         if len(self.waiting) >= config.MAX_WAITING_REQUESTS:
             self._attempts.reject_or_fail(pending)
         else:
@@ -180,11 +180,11 @@
         self.waiting = kept
 
     def _find_route_once(self, pending: PendingRequest, smallest_unroutable: dict) -> Route:
-        """Return a route, without a search where a similar, smaller request found none in this pass."""
+        """Return a route; skip the search if a similar, smaller request found none in this pass."""
         is_comparable = not pending.attempts and not pending.waits_for_memory
         key = (pending.request.class_index, pending.request.table_group, pending.priority)
         if is_comparable and pending.work >= smallest_unroutable.get(key, inf):
-            return Route()  # engines only fill up during a pass
+            return Route()  # during a pass, engines can only become fuller
         route = self.find_route(pending)
         if is_comparable and route == Route():
             smallest_unroutable[key] = pending.work
