--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Cancel:
-    """Cancel an attempt; its outcome is reported all the same."""
+    """Cancel an attempt; its outcome is still reported."""
 
     request_id: int
     attempt_index: int
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -27,7 +27,7 @@
     WITHDRAWN = "moot"  # withdrawn or expired before its execution
 
 
-# Results of attempts that were certainly not executed, and of those that may be in execution still.
+# Results of attempts that were certainly not executed, and of attempts that may still be running.
 NEVER_EXECUTED = frozenset({Result.REJECTED, Result.CONNECT_FAILED, Result.WITHDRAWN})
 POSSIBLY_RUNNING = frozenset({Result.TIMEOUT, Result.RESET, Result.CANCELLED})
 
@@ -67,9 +67,8 @@
     estimated_memory_mb: float = 0.0  # 0 means no estimate
     table_group: float = 0.0  # number in the schema names of the tables that the request uses; 0 means none
     is_client_retry: bool = False  # whether the client says that it sends the request again
-    is_order_unknown: bool = (
-        False  # whether it may have arrived before events of its order key passed on earlier
-    )
+    # Whether it may have arrived before a request with its order key that was submitted earlier.
+    is_order_unknown: bool = False
 
 
 @dataclass(frozen=True)
@@ -161,18 +160,18 @@
 
 @dataclass(frozen=True)
 class FleetSize:
-    """The number of instances that share the fleet's budgets, in place of the one in the settings."""
+    """The number of instances that share the fleet's budgets; it replaces the number in the settings."""
 
     instance_count: int
 
 
 @dataclass(frozen=True)
 class PeerLoadReport:
-    """What another instance has sent to an engine, and the load report that it got from there."""
+    """What another instance has sent to an engine, and the load report that it received from the engine."""
 
     engine_id: int
     load_report: tuple[float, ...] = ()  # values in the order of `Settings.report_columns`
-    sent_threads: int = 0  # threads of the attempts that it has just sent there
+    sent_threads: int = 0  # threads of the attempts that it has just sent to the engine
 
 
 Event = (
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -29,8 +29,8 @@
     """One class of requests: its target latency, its value, and the rules of its attempts."""
 
     name: str = ""
-    aim: float = 1.0  # target latency: an answer within this time and the stretch earns its full value
-    aim_stretch: float = 0.0  # factor to work / threads, which is added to the target latency
+    aim: float = 1.0  # target latency: an answer within this time plus the stretch earns its full value
+    aim_stretch: float = 0.0  # added to the target latency per second of work / threads
     deadline: float = 4.0  # timeout of requests that state none
     worth: float = 1.0  # value of an answer in time
     late_share: float = 0.0  # share of the value that an answer after the target latency earns
@@ -51,7 +51,7 @@
     """One kind of machines that engines run on."""
 
     name: str = ""
-    cores: float = 0.0  # 0 if unknown
+    cores: float = 0.0  # number of cores; 0 if unknown
     memory_mb: float = 0.0  # 0 if unknown
 
 
@@ -82,7 +82,7 @@
     answer_slack: float = 0.02
     ask_within: float = 10.0  # time limit of a call for the engine list
     drain_grace: float = 1.0  # time after which a draining engine must get nothing new
-    cold_share: float = 0.3  # share of its capacity that an engine has at its start
+    cold_share: float = 0.3  # share of its full capacity that an engine has at its start
     warm_up: float = 15.0  # time from the start of an engine to its full capacity
     fall: float = 1.5  # window in which the work for a cold engine is limited
     fall_multiple: float = 2.0  # limit of that work, as a multiple of the engine's present capacity
@@ -93,11 +93,11 @@
     budget_span: float = 5.0  # window of both limits
     try_limit: int = 3  # attempts of one request
     max_open: int = 20000  # requests without a final answer
-    max_retry_after: float = 1.0
+    max_retry_after: float = 1.0  # longest delay before a retry that a rejection advises
     may_cancel: bool = False  # whether attempts can be cancelled
     may_probe: bool = False  # whether engines can be probed
-    probe_price: float = 0.0  # points of the result that one probe per request costs
-    peer_price: float = 0.0  # points of the result that 256 bytes to peers per request cost
+    probe_price: float = 0.0  # share of a request's value that one probe per request costs
+    peer_price: float = 0.0  # share of a request's value that 256 bytes to peers per request cost
     may_message_peers: bool = False  # whether messages to other instances are allowed
     may_advise_retry_after: bool = False  # whether a rejection may advise a delay before a retry
     allows_parallel_attempts: bool = False  # whether two attempts of a request may be in flight at a time
--- a/applevale/engines/limits.py
+++ b/applevale/engines/limits.py
@@ -13,8 +13,9 @@
         max_attempts: Maximum number of concurrent attempts on one connection.
         idle_timeout: Seconds after which an engine closes an idle connection.
         connect_timeout: Timeout of connecting, in seconds.
-        handshake_cost: Points that one new connection per request costs (setting `prices.handshake`).
-        probe_price: Points that one probe per request costs (setting `prices.probe`).
+        handshake_cost: Share of a request's value that one new connection per request costs (setting
+            `prices.handshake`).
+        probe_price: Share of a request's value that one probe per request costs (setting `prices.probe`).
         drain_grace: Seconds after the start of a drain in which commands may still reach the engine.
     """
 
