--- a/applevale/server/context.py
+++ b/applevale/server/context.py
@@ -23,7 +23,7 @@
         connections: All connections, with their shared limits.
         counters: Counters of connections, messages and responses.
         metrics: Response metrics for operators; None without an operators' endpoint.
-        is_ready: The response to probes: whether new clients are accepted.
+        is_ready: Whether new clients are accepted, as reported in the response to a probe.
         open_request_ids: Ids of the requests that have no response yet.
     """
 
--- a/applevale/server/listener.py
+++ b/applevale/server/listener.py
@@ -70,7 +70,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """The response to probes: whether new clients are accepted."""
+        """Whether new clients are accepted, as reported in the response to a probe."""
         return self._context.is_ready
 
     @is_ready.setter
