--- a/applevale/requests/context.py
+++ b/applevale/requests/context.py
@@ -262,7 +262,7 @@
     def _final_response(self) -> Response:
         """Return the response without a decision: a rejection only if the request may be executed again."""
         if self.in_flight is not None:
-            # Ends at once as not executed if nothing of the attempt was written.
+            # The attempt ends at once, as not executed, if none of its command was written.
             self.in_flight.cancel(api.Result.CANCELLED)
         possibly_executed = self._possibly_executed_at < inf or self.in_flight is not None
         if possibly_executed and self._spec.repeat is not api.RepeatPolicy.SAFE:
--- a/applevale/requests/handler.py
+++ b/applevale/requests/handler.py
@@ -80,7 +80,7 @@
             context.close()
 
     def _may_admit(self, request: Request) -> bool:
-        """Return whether a request is passed to the admission controller, or else rejected at once."""
+        """Return whether to pass a request to the admission controller; it is rejected at once otherwise."""
         if len(self._driver.action_handlers) >= self._environment.settings.max_open:
             return False
         if self._is_rejecting:
@@ -110,7 +110,7 @@
         self._environment.shutdown_deadline = deadline
 
     def reject_after(self, delay: float | None) -> None:
-        """Reject requests from `delay` seconds on, unless the engine list is confirmed before.
+        """Reject requests after `delay` seconds, unless the engine list is confirmed before then.
 
         None means that the engine list is confirmed again, and that requests are accepted.
         """
