--- a/applevale/engines/connect_pacer.py
+++ b/applevale/engines/connect_pacer.py
@@ -94,7 +94,7 @@
             self._timer = asyncio.get_running_loop().call_at(next_slot_time, self._release_due_engines)
 
     def _release_due_engines(self) -> None:
-        """Present the engines whose slot has come in their listed state."""
+        """Let the admission controller see the listed state of the engines whose slot has come."""
         due_engines = [
             engine_id for engine_id in self.endpoints.awaiting_connect_slot if self.may_connect(engine_id)
         ]
--- a/applevale/engines/engine.py
+++ b/applevale/engines/engine.py
@@ -92,7 +92,10 @@
         return min(busy, key=lambda connection: connection.stream_count) if busy else None
 
     def _may_open_connection(self, has_other: bool) -> bool:
-        """Return whether a connection may be opened; an engine without a usable one may exceed its share."""
+        """Return whether a connection may be opened.
+
+        Each engine has a fair share of the connections; it may exceed the share if it has no usable one.
+        """
         pool = self.pool
         fair_share = pool.max_connections // max(1, len(pool.engines))
         return (
