--- a/applevale/dispatch/arrival_order.py
+++ b/applevale/dispatch/arrival_order.py
@@ -21,7 +21,7 @@
 
 TICK_SECONDS = 0.01  # interval between ticks
 MIN_REQUEST_SPACING_SECONDS = 0.05  # clients send requests with the same key at least 0.06 s apart
-STALL_SECONDS = TICK_SECONDS + 0.03  # interval between two ticks from which requests may be read out of order
+STALL_SECONDS = TICK_SECONDS + 0.03  # an interval between ticks of this length or more is a stall
 MAX_CATCH_UP_SECONDS = 1.0  # longest wait of requests with a key for the data accumulated in a stall
 KEY_RETENTION_SECONDS = 30.0  # how long the last request of a key is remembered; no stall lasts longer
 
@@ -97,7 +97,7 @@
         """Update `is_catching_up`; return whether no accumulated data is left to wait for.
 
         The wait is limited to `MAX_CATCH_UP_SECONDS`, since a client that sends without pause could prolong
-        it for ever.
+        it forever.
         """
         if self.is_catching_up and (all_caught_up or now - self.stalled_until > MAX_CATCH_UP_SECONDS):
             self.is_catching_up = False
--- a/applevale/dispatch/event_loop_driver.py
+++ b/applevale/dispatch/event_loop_driver.py
@@ -117,7 +117,7 @@
         self.event_queue.add_load_report(report)
 
     def read_delay(self) -> float:
-        """Return for how many seconds a message may have been unread, by the lateness of the last batches."""
+        """Return how long (s) a message may have been unread, estimated by the lateness of recent batches."""
         return min(MAX_READ_DELAY_SECONDS, self.batch_lateness.decayed(self.clock.latest))
 
     def delivery_seconds(self) -> float:
@@ -164,7 +164,7 @@
         self.counters["batches"] += 1
         try:
             actions = self.controller.handle(self.now(), events)
-        except Exception:  # the requests of this batch are ended by their deadlines, others go on
+        except Exception:  # requests of this batch end at their deadlines; others are not affected
             self.counters["module_errors"] += 1
             log_event("policy", traceback.format_exc())
             return
@@ -197,6 +197,6 @@
             case api.Log():
                 log_event("policy", action.text)
             case _:
-                # Subscriptions, fetches and peer messages: this program gets the engine list without asking,
-                # and sends peers load reports only.
+                # Subscriptions, fetches and peer messages are not needed: the program always follows the
+                # engine list, and exchanges only load reports with peers.
                 self.counters["actions_without_use"] += 1
