--- a/applevale/net/datagrams.py
+++ b/applevale/net/datagrams.py
@@ -17,7 +17,7 @@
 
 
 class DatagramSocket:
-    """Sends datagrams, and passes each received one to the handler for its first byte, the protocol.
+    """Sends datagrams, and passes received ones to handlers by their first byte, which names the protocol.
 
     Only datagrams from the addresses of peers are accepted. Datagrams from other senders or of unknown
     protocols are logged and counted as `news_unreadable`.
@@ -47,7 +47,7 @@
         self.counters = counters
         self.handlers: dict[int, DatagramHandler] = {}
         is_listed = instance_number < len(addresses.instances)
-        # Datagrams from this address are ignored: one that is sent to all instances also reaches the sender.
+        # Datagrams from this address are ignored, since a broadcast also reaches its sender.
         self.own_address = addresses.instances[instance_number] if is_listed else addresses.listen
         self.peer_numbers = {
             address: number
