--- a/applevale/runtime/gc_tuning.py
+++ b/applevale/runtime/gc_tuning.py
@@ -43,8 +43,9 @@
     """
     gc.collect()
     gc.freeze()
-    # The oldest generation is not collected before the objects added to it exceed a quarter of those that the
-    # last full collection left. This one leaves almost none, so that the next is not delayed.
+    # The oldest generation is collected only after the objects added to it exceed a quarter of those that
+    # survived the last full collection. With all present objects frozen, almost none survive this second
+    # collection, so the next one is not delayed.
     gc.collect()
     gc.set_threshold(*GENERATION_THRESHOLDS)
     gc.callbacks.append(PauseLogger())
--- a/applevale/runtime/optional_components.py
+++ b/applevale/runtime/optional_components.py
@@ -42,7 +42,7 @@
     submit: Callable[[api.EngineList], None],
     on_readiness_change: Callable[[], None],
 ) -> ConnectPacer | None:
-    """Return the limiter of the rate of connects to engines, or None if no rate is configured."""
+    """Return the pacer of new connections to engines, or None if no connection rate is configured."""
     if config.engine_connects_per_second is None:
         return None
     from ..engines.connect_pacer import ConnectPacer
--- a/applevale/runtime/reload.py
+++ b/applevale/runtime/reload.py
@@ -82,7 +82,7 @@
         try:
             for update in known:
                 self.control_feed.apply(update)
-        except FeedError as error:  # updates between them are missing; the feed will send those
+        except FeedError as error:  # updates in between are missing; the control feed will send them
             log_event("reload", f"known: {error}")
 
     def _check_identity(self, config: Config) -> None:
@@ -106,7 +106,7 @@
         ]
 
     def _reconfigure_source(self, config: Config) -> None:
-        """Have the engine list follow the registry or feed of a new configuration."""
+        """Switch the engine list to the registry or the control feed of a new configuration."""
         uses_registry = self.config.registry is not None
         if (config.registry is not None) != uses_registry:
             log_event("reload", "takes effect at the next start only: registry")
--- a/applevale/runtime/shutdown.py
+++ b/applevale/runtime/shutdown.py
@@ -10,12 +10,12 @@
 from ..server.listener import RpcServer
 
 ACCEPT_SECONDS = 0.75  # new connections are accepted for this long after SIGTERM
-# The platform may kill the process once the longest deadline of a request class, or MAX_DRAIN_SECONDS if that
-# is less, and KILL_GRACE_SECONDS have passed since SIGTERM.
+# The time from SIGTERM until the platform may kill the process is the longest deadline of a request class, at
+# most MAX_DRAIN_SECONDS, plus KILL_GRACE_SECONDS.
 MAX_DRAIN_SECONDS = 3.0
 KILL_GRACE_SECONDS = 0.7
 FINAL_RESPONSE_SECONDS = 0.3  # all open requests get a response this long before the process may be killed
-REJECT_NEW_SECONDS = 0.4  # new requests are rejected from this long before those final responses
+REJECT_NEW_SECONDS = 0.4  # new requests are rejected during this time before the final responses
 DRAIN_POLL_INTERVAL_SECONDS = 0.02
 FINAL_POLL_INTERVAL_SECONDS = 0.01
 
