--- a/applevale/circuit_breaker.py
+++ b/applevale/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker, which takes a failing resource out of use for a time. It reads no clock."""
+"""A circuit breaker, which takes a failing resource out of use for a time. The module reads no clock."""
 
 from __future__ import annotations
 
--- a/applevale/containers.py
+++ b/applevale/containers.py
@@ -61,7 +61,7 @@
     """A set of values for each key; keys with an empty set are not stored."""
 
     def __init__(self):
-        """Create it without keys."""
+        """Create a mapping without keys."""
         self.sets: dict[Hashable, set[Hashable]] = {}
 
     def __len__(self) -> int:
@@ -77,7 +77,7 @@
         self.sets.setdefault(key, set()).add(value)
 
     def discard(self, key: Hashable, value: Hashable) -> None:
-        """Remove a value from the set of a key, if it is in there."""
+        """Remove a value from the set of a key, if it is present."""
         if key in self.sets:
             self.sets[key].discard(value)
             if not self.sets[key]:
@@ -205,7 +205,7 @@
         self.memory += memory
 
     def remove(self, item: Item, threads: int, memory: float) -> bool:
-        """Remove an item with the threads and the memory that it holds; return whether it was in there."""
+        """Remove an item with the threads and the memory that it holds; return whether it was present."""
         if item not in self.items:
             return False
         del self.items[item]
--- a/applevale/estimators.py
+++ b/applevale/estimators.py
@@ -10,7 +10,7 @@
 
 from .containers import ExpiringKeys
 
-# Priors of EstimateCorrection; the counts are the numbers of observations that they weigh as much as.
+# Priors of EstimateCorrection; a count is the number of observations that a prior weighs as much as.
 EXCESS_PRIOR_COUNT = 2
 VARIANCE_PRIOR_COUNT = 3
 VARIANCE_PRIOR = 1.0
@@ -190,7 +190,7 @@
         return free_run_time * min(max(self.slowdown.value, 1.0), self.max_slowdown)
 
     def spread(self, deviations: float) -> float:
-        """Return the ratio to the expected run time of one that is so many mean deviations longer."""
+        """Return the factor to the expected run time for a run that is so many mean deviations longer."""
         return exp(deviations * self.scatter.value)
 
     def learn(self, expected: float, free_run_time: float, run_time: float) -> float:
@@ -228,7 +228,7 @@
         self.sampled_at = -inf
 
     def add(self, now: float, level: float) -> None:
-        """Add the level since the last sample; its weight is that time, at most one time constant."""
+        """Add the level since the last sample, weighted by the time since then, at most one time constant."""
         self.levels.add(now, level, min(now - self.sampled_at, self.levels.time_constant))
         self.sampled_at = now
 
@@ -256,7 +256,7 @@
 
 
 class RememberingClassifier:
-    """Predicts an outcome by a logistic model, except for kinds of which it missed an outcome recently."""
+    """Predicts an outcome by a logistic model, except for kinds whose outcome it missed recently."""
 
     def __init__(self, model: LogisticModel, misses: ExpiringKeys, lifetime: float):
         """Create a classifier that remembers a missed outcome for `lifetime` seconds."""
--- a/applevale/stalls.py
+++ b/applevale/stalls.py
@@ -1,4 +1,4 @@
-"""Detects by a late timer that the process was stalled. It reads no clock."""
+"""Detection of stalls of the process, by a timer that fires late. The module reads no clock."""
 
 from __future__ import annotations
 
