--- a/applevale/policy/admission.py
+++ b/applevale/policy/admission.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, context: Context, load: LoadEstimator):
-        """Create it with an untrained model and empty quotas."""
+        """Create the admission of an instance, with an untrained model and empty quotas."""
         self._context = context
         self._load = load
         model = estimators.LogisticModel(
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -58,7 +58,7 @@
         return not pending.attempts or self._retry_budget.allows_extra(now)
 
     def can_run_on(self, pending: PendingRequest, engine: Engine) -> bool:
-        """Return whether the rules that depend on the engine allow an attempt there."""
+        """Return whether the rules that depend on the engine allow an attempt on it."""
         spec = pending.spec
         entry = engine.entry
         if entry.state is not api.EngineState.READY or not pending.allows(entry):
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -126,7 +126,7 @@
 
 
 class Engine:
-    """One engine: the attempts of this instance in flight there, its reported load, and its health."""
+    """One engine: the attempts of this instance in flight on it, its reported load, and its health."""
 
     def __init__(self, entry: api.EngineEntry, context: Context, initial_debt: float):
         """Create an engine that was added to the list; `initial_debt` is passed on to `reset`."""
@@ -155,7 +155,7 @@
         self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)
 
     def runs_table_load(self, table_group: float) -> bool:
-        """Return whether an attempt of this instance loads the tables there, which blocks their readers."""
+        """Return whether an attempt of this instance on it loads the tables, which blocks their readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
         return any(pending.spec.load and pending.request.table_group == table_group for pending in requests)
 
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -43,7 +43,7 @@
         return engine.probed_at <= now <= engine.probed_at + config.PROBE_WAIT_SECONDS
 
     def on_attempt_result(self, engine: Engine, attempt: Attempt, result: api.Result) -> None:
-        """Update the health of an engine by the result of an attempt there."""
+        """Update the health of an engine by the result of an attempt on it."""
         now = self._context.now
         if result is api.Result.OK:
             engine.succeeded_at = now
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -22,7 +22,7 @@
 class Candidate(NamedTuple):
     """An engine that may get a request; candidates compare as tuples, and the smallest is the best."""
 
-    is_last_resort: bool  # the request was tried there, or the engine is on probation
+    is_last_resort: bool  # the request was tried on this engine, or the engine is on probation
     zone_tier: int
     is_second_choice: bool  # not among the first AFFINITY_ENGINES, or loaded beyond the limit
     engine_load: float
