--- a/applevale/engines/liveness.py
+++ b/applevale/engines/liveness.py
@@ -32,7 +32,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to monitor the connection, unless that is under way or the connection is closed."""
+        """Begin to monitor the connection, unless it is monitored already or closed."""
         if self._timer is None and not self._connection.is_closed:
             self.last_active_at = asyncio.get_running_loop().time()
             self._schedule(self._connection.pool.ping_interval())
