--- a/applevale/requests/handler.py
+++ b/applevale/requests/handler.py
@@ -97,7 +97,7 @@
         return self._environment.reject()
 
     def on_response_delivered(self, request: Request) -> None:
-        """Record that the response was written, or cannot be delivered any more.
+        """Record that the response was written, or can no longer be delivered.
 
         The server calls this once for each request, including cancelled ones.
         """
