--- a/applevale/runtime/descriptor_budget.py
+++ b/applevale/runtime/descriptor_budget.py
@@ -17,7 +17,7 @@
     Attributes:
         clients: Connections of clients: half of all descriptors. One client may hold a third of these.
         admin: Connections to the admin API: an eighth of all descriptors, at most `MAX_CONCURRENT_REQUESTS`.
-        engines: Connections to engines: the descriptors that neither the others nor the reserve take.
+        engines: Connections to engines: the descriptors that remain after the other kinds and the reserve.
     """
 
     clients: int
