--- a/applevale/circuit_breaker.py
+++ b/applevale/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker, which takes a failing resource out of use for a time. The module reads no clock."""
+"""A circuit breaker, which blocks the use of a failing resource for some time. It reads no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CircuitBreaker:
-    """Opens for a time that doubles with each opening, and resets at a success.
+    """Opens for a time that doubles with each opening; a success resets that time.
 
     While it is open, the resource should not be used.
 
--- a/applevale/containers.py
+++ b/applevale/containers.py
@@ -114,7 +114,7 @@
     """
 
     def __init__(self, has_ended: Callable[[Item], bool]):
-        """Create it without queues; `has_ended` returns whether an item has ended."""
+        """Create a set of queues without items; `has_ended` returns whether an item has ended."""
         self.has_ended = has_ended
         self.queues: dict[Hashable, deque[Item]] = {}
         self.paused_until: dict[Hashable, float] = {}
@@ -193,7 +193,7 @@
     """Items in the order of their addition, with the sums of the threads and the memory that they hold."""
 
     def __init__(self):
-        """Create it without items."""
+        """Create an empty collection."""
         self.items: dict[Item, None] = {}
         self.threads = 0.0
         self.memory = 0.0
--- a/applevale/estimators.py
+++ b/applevale/estimators.py
@@ -131,7 +131,7 @@
     """
 
     def __init__(self, mean: float, max_ratio: float):
-        """Create it with a prior mean; the ratio of needed to announced is bounded to `max_ratio`."""
+        """Create a correction with a prior mean; ratios of needed to announced are bounded to `max_ratio`."""
         self.max_ratio = max_ratio
         self.mean = RunningMean(mean)
         self.announced_log = RunningMean(0.0)
@@ -190,7 +190,7 @@
         return free_run_time * min(max(self.slowdown.value, 1.0), self.max_slowdown)
 
     def spread(self, deviations: float) -> float:
-        """Return the factor to the expected run time for a run that is so many mean deviations longer."""
+        """Return the ratio of a run time that is this many mean deviations too long to the expected one."""
         return exp(deviations * self.scatter.value)
 
     def learn(self, expected: float, free_run_time: float, run_time: float) -> float:
@@ -241,7 +241,7 @@
     """Compares the value per cost of an item with that of the mean item."""
 
     def __init__(self):
-        """Create it with a mean value and a mean cost of 1."""
+        """Create a comparison with a mean value and a mean cost of 1."""
         self.mean_value = RunningMean(1.0)
         self.mean_cost = RunningMean(1.0)
 
