--- a/applevale/discovery/control_feed.py
+++ b/applevale/discovery/control_feed.py
@@ -18,7 +18,7 @@
 MIN_RECONNECT_SECONDS = 0.05
 MAX_RECONNECT_SECONDS = 0.4
 RECEIVE_BUFFER_BYTES = 16384
-RESUME_REQUEST = struct.Struct(">Q")  # Number of the last update that was published.
+RESUME_REQUEST = struct.Struct(">Q")  # Its only field is the number of the last published update.
 
 
 class ControlFeed:
@@ -33,7 +33,7 @@
         publish: Called with each update, once and in order.
         address: Address of the feed; None if no feed is followed.
         task: Task that follows the feed; None if no feed is followed.
-        last_frame_at: Time of the last frame on the event loop's clock, in s.
+        last_frame_at: Time of the last frame on the event loop's clock, in s; -inf before the first one.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self.counters["feed_frames"] += 1
         if update.number <= self.last_number:
             return
-        if not update.endpoints and not update.is_full:  # A heartbeat that follows a missing update.
+        if not update.endpoints and not update.is_full:  # A heartbeat whose update was missed.
             text = f"heartbeat of event {update.number} came after event {self.last_number}"
             raise FeedError(text, update.number)
         if not update.is_full and update.number != self.last_number + 1:
--- a/applevale/discovery/feed_codec.py
+++ b/applevale/discovery/feed_codec.py
@@ -57,7 +57,7 @@
         state: Code of the lifecycle state.
         zone: Index of the zone.
         kind: Index of the machine kind.
-        cell: Number of the cell.
+        cell: Number of the cell, a group of engines.
         weight: Relative capacity in thousandths.
         started: Start of the engine in Unix time, in ms.
     """
--- a/applevale/discovery/gated_endpoints.py
+++ b/applevale/discovery/gated_endpoints.py
@@ -1,10 +1,10 @@
-"""The engine list as the decision module sees it, where engines that must not get new requests are draining.
+"""The engine list as the decision module sees it: engines that must not get new requests appear as draining.
 
 Invariants:
 
 - While the list is stale, no engine is presented as ready, so that no new requests are sent. Requests in
-  flight continue. Once the list is confirmed again, all engines are presented anew, with the changes that
-  happened in the meantime.
+  flight continue. Once the list is confirmed again, all engines are presented again, including the changes
+  that happened in the meantime.
 - An engine in `ejected` is never presented as ready, whatever its source reports.
 - An engine in `awaiting_connect_slot` is not presented as ready, since no connection to it may be opened yet.
 
@@ -25,7 +25,7 @@
     Attributes:
         entries: Listed engines by number, as their source describes them.
         is_stale: Whether the source cannot confirm the list at present.
-        ejected: Engines that an operator ejected; the set belongs to another object, which changes it.
+        ejected: Engines that an operator ejected. Another object owns the set and changes it.
         awaiting_connect_slot: Engines to which no connection may be opened yet.
     """
 
--- a/applevale/discovery/registry/commands.py
+++ b/applevale/discovery/registry/commands.py
@@ -15,7 +15,8 @@
 class Connect:
     """Open a session with one member.
 
-    No command closes a session: each one missing from `RegistryWatcher.open_sessions` has to be closed.
+    No command closes a session: the driver closes each one that is missing from
+    `RegistryWatcher.open_sessions`.
 
     Attributes:
         session_id: Number of the new session.
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class RequestProgress:
-    """Request a progress notification: the watch is behind a revision that a poll has observed.
+    """Request a progress notification, since the watch is behind a revision that a poll has observed.
 
     Attributes:
         session_id: Number of the session.
--- a/applevale/discovery/registry/freshness.py
+++ b/applevale/discovery/registry/freshness.py
@@ -25,7 +25,7 @@
     def __init__(
         self, watcher: RegistryWatcher, counters: Counters, on_change: Callable[[bool], None], now: float
     ):
-        """Create a reporter for a list that is stale since `now`; see the class for the other parameters."""
+        """Create a reporter for a list that has been stale since `now`; see the class for the rest."""
         self.watcher = watcher
         self.counters = counters
         self.on_change = on_change
--- a/applevale/discovery/registry/loop_lag.py
+++ b/applevale/discovery/registry/loop_lag.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from math import inf
 
-LATENESS_DECAY = 0.8  # The recent lateness is multiplied by this at each tick.
-MAX_GRACE_TICKS = 3  # Further consecutive late ticks have no grace period.
+LATENESS_DECAY = 0.8  # Factor by which the recent lateness decays at each tick.
+MAX_GRACE_TICKS = 3  # Consecutive late ticks beyond this number start no grace period.
 
 
 @dataclass
--- a/applevale/discovery/registry/messages.py
+++ b/applevale/discovery/registry/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the etcd v3 API, with the published names and field numbers; only those in use here."""
+"""The messages of the etcd v3 API that are used here, with the published names and field numbers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "int32": _FieldType.TYPE_INT32,
 }
 
-# Number and type of each field. A type in brackets is repeated. An enum is encoded like an int32.
+# Number and type of each field. Brackets mark a repeated field. An enum is encoded like an int32.
 _MESSAGE_FIELDS: dict[str, dict[str, tuple[int, str]]] = {
     "ResponseHeader": {
         "cluster_id": (1, "uint64"),
--- a/applevale/discovery/registry/pacing.py
+++ b/applevale/discovery/registry/pacing.py
@@ -13,8 +13,8 @@
 from ...startup.staleness_guard import GuardState, StalenessGuard
 from .watcher_config import WatcherConfig
 
-MIN_CONSECUTIVE_FAST_RESPONSES = 10  # From this number on, responses count as fast.
-STANDBY_DELAY_PER_LATENESS = 10.0  # Additional standby delay per lateness of the event loop.
+MIN_CONSECUTIVE_FAST_RESPONSES = 10  # Fast responses after which the service counts as fast.
+STANDBY_DELAY_PER_LATENESS = 10.0  # Seconds of extra standby delay per second of event loop lateness.
 MIN_POLL_INTERVAL_RATIO = 0.9  # Lowest ratio of the shortest to the longest poll interval.
 POLL_DEADLINE_SHARE = 0.9  # Share of `max_staleness` within which the response to a poll is expected.
 SEVERE_STALENESS_FACTOR = 1.5  # Beyond this multiple of `max_staleness`, even fast responses are violations.
--- a/applevale/discovery/registry/request_scheduler.py
+++ b/applevale/discovery/registry/request_scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduling of the requests of a registry watcher's active session, including repetition.
+"""Scheduling of the requests of a registry watcher's active session, including retries.
 
 The module does no I/O and reads no clock: callers pass the time. Times and durations are in seconds.
 """
@@ -54,7 +54,7 @@
         return command
 
     def repeat_throttled(self, now: float, session: SessionState, retry_after: float, is_watch: bool) -> None:
-        """Schedule the repetition of a request that the member throttled.
+        """Schedule a retry of a request that the member throttled.
 
         Args:
             now: Time of the response.
--- a/applevale/discovery/registry/session.py
+++ b/applevale/discovery/registry/session.py
@@ -88,7 +88,7 @@
     """A session with one member, which runs its requests as asyncio tasks.
 
     Request methods return immediately, and the listener receives the responses. A request that fails for
-    another reason than throttling is reported to the listener as the end of the session.
+    a reason other than throttling is reported to the listener as the end of the session.
     """
 
     def __init__(
@@ -120,7 +120,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _run(self, request: Coroutine[object, object, None]) -> None:
-        """Run a request, and report every error to the listener: libraries may raise any on invalid input."""
+        """Run a request, and report any error to the listener, since libraries may raise any on bad input."""
         try:
             await request
         except ThrottledError as error:
--- a/applevale/discovery/registry/session_state.py
+++ b/applevale/discovery/registry/session_state.py
@@ -27,7 +27,7 @@
     Attributes:
         session_id: Number of the session, unique within one watcher.
         member_index: Index of the member in the list of addresses.
-        started_at: Time at which the session was opened, or its first request was last repeated.
+        started_at: Time at which the session was opened, or its first request was last retried.
         last_progress_at: Time of the last response that advanced the session.
         phase: What the session is waiting for.
         poll_sent_at: Time at which the poll in flight was sent; infinite if there is none.
--- a/applevale/discovery/registry/settings.py
+++ b/applevale/discovery/registry/settings.py
@@ -60,7 +60,7 @@
         addresses: HOST:PORT of each member. The members are tried in turn.
         prefix: Prefix of the keys that hold engine records.
         on_stale: Whether new requests are held or served while the list is not confirmed.
-        hold: Time for which new requests are held before they are rejected, in s.
+        hold: Time for which a new request is held before it is rejected, in s.
         fresh: Staleness up to which the list counts as confirmed, in s.
         user: User name for etcd; empty for none.
         password: Password of that user.
--- a/applevale/discovery/registry/snapshot.py
+++ b/applevale/discovery/registry/snapshot.py
@@ -1,4 +1,4 @@
-"""Storage of the last list in an embedded database (LMDB), for a start while the registry is down."""
+"""Storage of the last list in an embedded database (LMDB), to start from while the registry is down."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SnapshotError(ValueError):
-    """The store cannot be used, or its snapshot is torn, in another format or of another registry."""
+    """The store is unusable, or its snapshot is torn, has another format or belongs to another registry."""
 
 
 class _Document(msgspec.Struct):
@@ -84,7 +84,8 @@
         """Return the snapshot; None if there is none.
 
         Raises:
-            SnapshotError: The snapshot cannot be read, or is torn, in another format or of another registry.
+            SnapshotError: The snapshot cannot be read, is torn, has another format or belongs to another
+                registry.
         """
         try:
             with self.environment.begin() as transaction:
--- a/applevale/discovery/registry/source.py
+++ b/applevale/discovery/registry/source.py
@@ -44,7 +44,7 @@
 
     Attributes:
         settings: Settings of the registry.
-        counters: Counters of the process, of which the source sets `registry_...`.
+        counters: Counters of the process; the source sets those whose names begin with `registry_`.
         table: Engine list as stored in the registry.
         driver: Executes the commands of the watcher.
         freshness: Reports when the list turns stale or fresh.
--- a/applevale/discovery/registry/source_counters.py
+++ b/applevale/discovery/registry/source_counters.py
@@ -8,7 +8,7 @@
 
 
 class SourceCounters:
-    """Sets the counters `registry_...` from the state of a watcher and its list."""
+    """Sets the counters whose names begin with `registry_` from the state of a watcher and its list."""
 
     def __init__(self, counters: Counters, watcher: RegistryWatcher, table: EndpointTable):
         """Prepare to set counters; none is set yet.
--- a/applevale/discovery/registry/standby_limiter.py
+++ b/applevale/discovery/registry/standby_limiter.py
@@ -15,7 +15,9 @@
 
 @dataclass
 class StandbyLimiter:
-    """Limits how often standby sessions are opened, by an interval that grows while they are no faster.
+    """Limits how often standby sessions are opened.
+
+    The interval grows as long as standby sessions are no faster than the active one.
 
     Attributes:
         config: Timing parameters.
--- a/applevale/discovery/registry/watched_list.py
+++ b/applevale/discovery/registry/watched_list.py
@@ -38,7 +38,7 @@
         revision: Revision up to which the list is complete; 0 before the first snapshot.
         confirmed_at: Time of the latest request whose response showed that the list was complete.
             The time of the response is not used, since the response may have been delayed.
-        cluster_id: Identity of the cluster whose revisions these are; 0 if unknown.
+        cluster_id: Identity of the cluster to which `revision` belongs; 0 if unknown.
         cluster_changed: Whether the active session's member belongs to another cluster than the
             list, so that its revisions cannot be compared.
         snapshot_required: Whether a watch cannot continue from `revision`.
--- a/applevale/discovery/registry/watcher.py
+++ b/applevale/discovery/registry/watcher.py
@@ -11,11 +11,11 @@
 - Responses of a session (a connection to one member) are ignored once another session has replaced it.
 - A session has at most one poll in flight. Polls are as frequent as the staleness bound requires. While the
   bound cannot be guaranteed, polls are rare and the list counts as not confirmed.
-- A working session is not abandoned because the service is slow for all clients. If a session is silent for
-  longer than usual, a standby session is opened with the next member. If the standby session responds at
-  least twice as fast, it takes over. Otherwise all members are slow: the active session stays, and the
-  interval before the next standby session grows.
-- A throttled request is repeated in the same session after a backoff.
+- A working session is not abandoned merely because the service is slow for all clients. If a session is
+  silent for longer than usual, a standby session is opened with the next member. If the standby session
+  responds at least twice as fast, it takes over. Otherwise all members are slow: the active session stays,
+  and the interval before the next standby session grows.
+- A throttled request is retried in the same session after a backoff.
 
 A session goes through the phases connecting, reading (unless it can resume) and watching. A session is ended
 if its member returns an older state than one that was seen before. Once all members have done so, with no
@@ -58,7 +58,7 @@
         loop_lag: Lateness of the event loop.
         sessions: The active session and the standby session.
         stats: Counts of events.
-        requests: Sends and repeats the requests of the active session.
+        requests: Sends and retries the requests of the active session.
         failover: Handles timeouts of sessions and takeovers by the standby session.
         synchronizer: Keeps the list up to date over the active session.
     """
@@ -178,7 +178,7 @@
     def on_throttled(
         self, now: float, session_id: int, retry_after: float = 0.0, is_watch: bool = False
     ) -> list[Command]:
-        """Handle a request that the member rejected because of its load; it is repeated after a backoff.
+        """Handle a request that the member rejected because of its load; it is retried after a backoff.
 
         The member asked for a delay of `retry_after` seconds. If `is_watch`, the request was the watch, which
         has then ended. The session remains usable.
--- a/applevale/discovery/registry/watcher_config.py
+++ b/applevale/discovery/registry/watcher_config.py
@@ -11,7 +11,7 @@
 
     On average, a poll interval (0.63 of `max_staleness`), the delay of a standby session (0.33 of it) and the
     handshake of that session (a few ms) fit in `max_staleness`. If all three are long, a failover exceeds the
-    bound by 0.07 s at most. Polling more often or switching sooner would burden a service that is slow for
+    bound by at most 0.07 s. Polling more often or switching sooner would burden a service that is slow for
     all of its clients.
 
     Attributes:
