--- a/applevale/startup/adaptive_backoff.py
+++ b/applevale/startup/adaptive_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff towards a service that many instances call: full jitter over a window that adapts to its load.
+"""Backoff for a service that many instances call: full jitter over a window that adapts to its load.
 
 An instance does not know how many other instances there are; it sees only slow and throttled responses.
 Invariants:
@@ -57,5 +57,5 @@
         return retry_after + random_value * self.window
 
     def _widen(self, minimum: float) -> None:
-        """Double the window, to at least `minimum` seconds and at most the maximum."""
+        """Double the window, to at least `minimum` and at most `MAX_WINDOW_SECONDS` seconds."""
         self.window = min(MAX_WINDOW_SECONDS, max(2 * self.window, minimum))
--- a/applevale/startup/connect_schedule.py
+++ b/applevale/startup/connect_schedule.py
@@ -3,8 +3,8 @@
 Hundreds of instances may start, or lose their connections, at the same moment. Each knows the number of
 instances and its own index, and nothing else about the others. The connection rate of an engine is therefore
 divided into time slots: in a round, which is long enough for all instances to connect one after the other at
-that rate, each instance has one slot. The slots for different engines are shifted against each other, so that
-an instance connects to its first engines early in the round.
+that rate, each instance has one slot. The slots of an instance are staggered across the engines, so that it
+connects to its first engines early in the round.
 
 No instance may connect immediately, ahead of its first slot: at the start that would add one connection per
 instance to every engine and exceed the rate by half.
--- a/applevale/startup/staleness_guard.py
+++ b/applevale/startup/staleness_guard.py
@@ -1,4 +1,4 @@
-"""Circuit breaker for a staleness guarantee that the current polling rate and latency may be unable to keep.
+"""Circuit breaker for a staleness guarantee that may not hold at the current polling rate and latency.
 
 The states are active -> suspended -> on trial -> active. Invariants:
 
@@ -47,7 +47,7 @@
     """Circuit breaker of one staleness guarantee.
 
     Attributes:
-        response_budget: Longest duration of a timely response, in seconds. With a longer one the next poll
+        response_budget: Longest duration of a timely response, in seconds. After a longer one the next poll
             would be too late.
         state: Current state.
         violations: Times of the latest violations of the bound.
