--- a/applevale/membership/__init__.py
+++ b/applevale/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Group membership among instances: SWIM with Lifeguard's extensions, and a quorum of observers for a death.
+"""Group membership among instances: SWIM with Lifeguard's extensions; a death needs a quorum of observers.
 
 `protocol.py` has the entry points. Only `runner.py` performs I/O and reads a clock.
 """
--- a/applevale/membership/anti_entropy.py
+++ b/applevale/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: members whose views differ exchange the records in which they differ."""
+"""Anti-entropy: members with different views exchange the records that differ."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Compares the records of two members by the digests of their segments, and sends those that differ."""
 
     def __init__(self, context: ProtocolContext, sender: MessageSender, updates: UpdateHandler):
-        """Initialize; the first sync may start at once."""
+        """Create the component; its first sync may start at once."""
         self._config = context.config
         self._view = context.view
         self._stats = context.stats
--- a/applevale/membership/dissemination.py
+++ b/applevale/membership/dissemination.py
@@ -15,7 +15,7 @@
 
 
 class BroadcastQueue:
-    """The members whose record or suspicion is still to be transmitted, and how often each."""
+    """The members whose record or suspicion is still to be transmitted, with the number of transmits left."""
 
     def __init__(self, config: ProtocolConfig, view: MembershipView, suspicions: SuspicionTable):
         """Create an empty queue."""
@@ -102,6 +102,6 @@
         self._view.table.put(member, record)
         self._suspicions.resolve(member, record)
         if broadcast:
-            # Before `set_alive`: the number of transmits follows the fleet size before this change.
+            # Before `set_alive`, since the number of transmits depends on the fleet size before this change.
             self._broadcasts.add_record(member)
         self._view.set_alive(member, record.is_alive)
--- a/applevale/membership/heartbeat.py
+++ b/applevale/membership/heartbeat.py
@@ -11,7 +11,7 @@
 
 
 class HeartbeatDetector:
-    """Sends heartbeats to all members, and declares members dead whose heartbeats stop."""
+    """Sends heartbeats to all members, and declares members dead when their heartbeats stop."""
 
     def __init__(self, context: ProtocolContext, components: SharedComponents, updates: UpdateHandler):
         """Create a detector that has received no heartbeat."""
@@ -28,7 +28,7 @@
         self._last_heartbeat_at[sender] = now
 
     def send_heartbeats(self, now: float) -> None:
-        """Send a heartbeat to all members, and declare those dead that were silent beyond the timeout."""
+        """Send a heartbeat to all members, and declare those dead whose silence exceeds the timeout."""
         interval = self._config.heartbeat_interval
         self._probes.next_probe_at = max(self._probes.next_probe_at + interval, now + interval / 2)
         if self._health.status is LocalStatus.JOINING:
--- a/applevale/membership/join_prober.py
+++ b/applevale/membership/join_prober.py
@@ -1,4 +1,4 @@
-"""Pings to members that are dead or unknown, so that the sides of a network partition rejoin after it."""
+"""Pings to members that are dead or unknown, so that both sides of a network partition rejoin after it."""
 
 from __future__ import annotations
 
--- a/applevale/membership/local_health.py
+++ b/applevale/membership/local_health.py
@@ -132,7 +132,7 @@
     def _has_many_false_suspicions(self, now: float) -> bool:
         """Return whether too many of the members found unreachable in the window proved to be alive.
 
-        That is at least `min_false_suspicions`, and no fewer than are still unreachable.
+        This means at least `min_false_suspicions`, and no fewer than the members still unreachable.
         """
         minimum = self._config.min_false_suspicions
         if len(self._false_suspicions) < minimum:
--- a/applevale/membership/local_member.py
+++ b/applevale/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This member's own record: it joins, refutes false records of itself, and leaves."""
+"""This member's own record: joining the fleet, refuting false records of this member, and leaving."""
 
 from __future__ import annotations
 
@@ -134,7 +134,7 @@
         identity = self._identity
         if record.state is not MemberState.ALIVE or record.incarnation > identity.incarnation:
             return True
-        # Two processes have the same incarnation: the one with the lower process id takes a higher one.
+        # Two processes have the same incarnation: the one with the lower process id raises its own.
         return identity.process_id < record.process_id
 
     def _announce(self, now: float, fanout: int) -> None:
--- a/applevale/membership/messages.py
+++ b/applevale/membership/messages.py
@@ -105,7 +105,7 @@
     Attributes:
         member: The suspected member.
         incarnation: The incarnation at which it is suspected. A datagram carries its lowest 8 bits.
-        age: Seconds since there was a quorum of observers.
+        age: Time since a quorum of observers was reached, in seconds; 0 without a quorum.
         observers: Distinct members that could not reach the suspect.
     """
 
@@ -133,7 +133,7 @@
         is_reachable: In ping results: whether `subject` answered.
         updates: Piggybacked records and suspicions.
         segment_digests: In segment digests: one digest for each segment of the sender's records.
-        first_member: In segments: the number of the member with the first of `segment_records`.
+        first_member: In segments: the number of the member that the first of `segment_records` describes.
         segment_records: In segments: the records of consecutive members.
     """
 
--- a/applevale/membership/protocol.py
+++ b/applevale/membership/protocol.py
@@ -8,8 +8,8 @@
 - A member that was paused, or that receives no messages or no answers, does not suspect others. Its timeouts
   for suspicions restart once it has recovered.
 - A member also suspects nobody while many of those that it could not reach prove to be alive.
-- A member that is alive refutes records that it is suspect, dead or left by a higher incarnation. An earlier
-  process never refutes a later one that is alive.
+- A member that is alive refutes records that call it suspect, dead or left, by raising its incarnation. An
+  earlier process never refutes a later one that is alive.
 - A token bucket limits the bytes sent; answers and probes take precedence over gossip. State is bounded by
   the number of members, and answers to one sender by `MAX_ANSWERS_PER_SECOND`.
 - The protocol does not depend on the wall clock, and stores nothing beyond the life of the process.
@@ -201,7 +201,7 @@
                 self.anti_entropy.on_segment(now, sender, message)
 
     def _finish(self, now: float) -> list[Command]:
-        """Finish an event: announce changes that are due, note when the next event is expected.
+        """Finish an event: announce changes that are due, and note when the next event is expected.
 
         Returns:
             All commands that result from the event.
--- a/applevale/membership/records.py
+++ b/applevale/membership/records.py
@@ -28,7 +28,7 @@
 
     Attributes:
         records: The record of each member, by its number.
-        segment_width: Members in a segment; the last segment may have fewer.
+        segment_width: Number of members in a segment; the last segment may have fewer.
         segment_digests: One digest for each segment.
         digest: Digest of all records.
     """
--- a/applevale/membership/sender.py
+++ b/applevale/membership/sender.py
@@ -50,7 +50,7 @@
     def send_ping(
         self, now: float, target: int, sequence_number: int, reserve: float = PROBE_RESERVE_BYTES
     ) -> bool:
-        """Send a ping that leaves `reserve` bytes in the token bucket."""
+        """Send a ping if it leaves at least `reserve` bytes in the token bucket."""
         message = self._build(MessageKind.PING, target, sequence_number)
         return self._send(now, target, message, reserve)
 
--- a/applevale/membership/suspicion.py
+++ b/applevale/membership/suspicion.py
@@ -1,12 +1,12 @@
-"""The suspicion against one member, and the timeouts after which it is declared dead. No I/O, no clock.
+"""The suspicion against one member, and the timeouts until the member is declared dead. No I/O, no clock.
 
 Invariants:
 
 - Only distinct observers at one incarnation count; the suspect itself does not.
 - Fewer observers than the quorum never declare a member dead, however old the suspicion is.
 - The timeout starts when any member first sees a quorum, because the suspect is informed only from then on.
-  At most `MAX_REPORTED_AGE_SECONDS` of the age that others report count, so that a false report shortens the
-  timeout by little.
+  An age that others report counts only up to `MAX_REPORTED_AGE_SECONDS`, so that a false report shortens the
+  timeout only a little.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     """The quorum of observers, and the time from the quorum until the suspect is declared dead.
 
     Attributes:
-        required_observers: The quorum in a fleet with at least as many observers.
-        fast_observers: Number of observers from which on `min_timeout` applies.
+        required_observers: The quorum in a fleet with at least this many eligible observers.
+        fast_observers: Minimum number of observers for `min_timeout` to apply.
         min_timeout: Timeout in seconds with `fast_observers` or more.
         max_timeout: Timeout in seconds with just the quorum.
     """
@@ -44,11 +44,11 @@
         return min(self.required_observers, max(2, eligible_count))
 
     def fast_quorum(self, eligible_count: int) -> int:
-        """Return the number of observers from which on the timeout is the shortest."""
+        """Return the minimum number of observers for the shortest timeout to apply."""
         return max(self.quorum(eligible_count), min(self.fast_observers, eligible_count))
 
     def timeout(self, observer_count: int, eligible_count: int) -> float:
-        """Return the seconds from the quorum to the death; they decrease as more observers agree."""
+        """Return the time from the quorum to the death in seconds; it decreases as more observers agree."""
         quorum = self.quorum(eligible_count)
         fast_quorum = self.fast_quorum(eligible_count)
         if observer_count >= fast_quorum:
@@ -72,7 +72,7 @@
         observers: The distinct observers as keys, in the order in which they were added.
         relayed_observer_count: Number of observers when the suspicion was last relayed.
         next_check_at: When this member pings or probes the suspect again; infinite if it does not verify it.
-        final_check_started: Whether the last check before the death has started.
+        final_check_started: Whether the final check before the death has started.
     """
 
     incarnation: int
@@ -90,7 +90,7 @@
         Args:
             now: The time, in seconds.
             observers: Members that could not reach the suspect.
-            age: Reported seconds since there was a quorum; 0 without such a report.
+            age: Reported time since a quorum was reached, in seconds; 0 if none was reported.
             quorum: Number of observers needed.
         """
         former_count = len(self.observers)
--- a/applevale/membership/suspicion_monitor.py
+++ b/applevale/membership/suspicion_monitor.py
@@ -61,7 +61,7 @@
             self._on_own_suspicion(now, update, len(observers) >= quorum)
             return
         if len(observers) < min(self._config.min_relayed_observers, quorum):
-            # So few observers are not to be relayed: only the sender's own observation counts.
+            # Too few observers to be relayed: only an observation of the sender itself counts.
             observers = tuple(observer for observer in observers if observer == sender)
         age = update.age if len(observers) >= quorum else 0.0
         self.suspect(now, member, update.incarnation, observers, age)
@@ -76,7 +76,7 @@
             member: The suspect.
             incarnation: The suspect's incarnation, or only its low bits.
             observers: Members that could not reach the suspect.
-            age: Reported seconds since there was a quorum; 0 without such a report.
+            age: Reported time since a quorum was reached, in seconds; 0 if none was reported.
         """
         known = self._view.table.records[member]
         if not observers or not known.is_alive or not _have_same_low_bits(incarnation, known.incarnation):
@@ -97,9 +97,9 @@
         self._suspicions.reschedule()
 
     def remove_expired(self, now: float) -> None:
-        """Declare suspects dead whose timeout has passed.
+        """Declare suspects dead once their timeout has passed.
 
-        A death waits briefly for others that are due soon, so that they make one change of the view.
+        A death waits briefly for others that are due soon, so that together they change the view only once.
         """
         suspicions = self._suspicions
         if now < suspicions.next_deadline:
@@ -130,7 +130,7 @@
             self._local.on_own_record(now, identity.record(MemberState.SUSPECT))
 
     def _relay(self, member: int, suspicion: Suspicion, former_count: int) -> None:
-        """Disseminate a suspicion with a new observer if others may lack it for a quorum or fast quorum."""
+        """Disseminate a suspicion if its new observers may complete a quorum or fast quorum for others."""
         quorum = self._suspicions.quorum(member)
         fast_quorum = self._config.timeouts.fast_quorum(self._view.eligible_observers(member))
         count = len(suspicion.observers)
--- a/applevale/membership/suspicion_table.py
+++ b/applevale/membership/suspicion_table.py
@@ -26,7 +26,7 @@
         active: Suspicions against members that are alive, by member.
         dead_members: The suspicion that led to the death of a member, by dead member.
         pending_claims: Claims that too few members have reported so far, by the member that they are about.
-        next_deadline: When to check the suspicions next, in seconds; infinite without any check.
+        next_deadline: When to check the suspicions next, in seconds; infinite if none is due.
     """
 
     def __init__(self, config: ProtocolConfig, view: MembershipView):
--- a/applevale/membership/token_bucket.py
+++ b/applevale/membership/token_bucket.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 RATE_BYTES_PER_SECOND = 1400.0
-BURST_BYTES = 550.0  # Any period of one second sends at most rate and burst together, 1950 bytes.
-INITIAL_BYTES = 100.0  # Less than a burst: before a restart the previous process may just have sent one.
+BURST_BYTES = 550.0  # At most 1950 bytes, rate plus burst, are sent within any second.
+INITIAL_BYTES = 100.0  # Less than a burst, since the process before a restart may just have sent one.
 
 
 @dataclass
@@ -15,7 +15,7 @@
 
     Attributes:
         rate: Bytes added per second.
-        capacity: Maximum of bytes that accumulate.
+        capacity: Maximum number of bytes that accumulate.
         available: Bytes that may be sent as of `updated_at`.
         updated_at: Time of the last refill, in seconds; 0 before the first one.
     """
--- a/applevale/membership/view.py
+++ b/applevale/membership/view.py
@@ -27,7 +27,7 @@
         alive: The other members that are alive.
         changed_at: When the view last changed, in seconds.
         change_count: Number of announcements made.
-        announcement_due: When the pending changes are announced, in seconds; infinite without any.
+        announcement_due: When the pending changes are announced, in seconds; infinite if there are none.
     """
 
     def __init__(self, local_member: int, member_count: int):
