--- a/applevale/gossip/exchange.py
+++ b/applevale/gossip/exchange.py
@@ -43,13 +43,13 @@
             self.timer.cancel()
 
     def on_engine_report(self, engine: int, report: tuple[float, ...]) -> None:
-        """Share the load that an engine reported in a response or to a probe."""
+        """Tell peers the load that an engine reported in a response or to a probe."""
         self.reports.record_report(self.clock.now(), engine, report)
         if self.timer is None and self.reports.has_pending():
             self.timer = asyncio.get_running_loop().call_later(REPORT_DELAY_SECONDS, self._send)
 
     def on_attempt_sent(self, engine: int, threads: int) -> None:
-        """Share that an attempt was sent to an engine."""
+        """Tell peers that an attempt was sent to an engine."""
         if self.reports.record_dispatch(engine, threads):
             self._send()
 
--- a/applevale/gossip/load_report_codec.py
+++ b/applevale/gossip/load_report_codec.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-LOAD_REPORT_VERSION = 2  # first byte of a load report, which also tells it from other datagrams
+LOAD_REPORT_VERSION = 2  # First byte of a load report, which distinguishes it from other datagrams.
 MAX_DATAGRAM_BYTES = 64
 HEADER = struct.Struct(">BB")
 DISPATCH_ENTRY = struct.Struct(">HB")
@@ -19,7 +19,8 @@
 MAX_DISPATCHES = (MAX_DATAGRAM_BYTES - HEADER.size) // DISPATCH_ENTRY.size
 MAX_THREADS = 255
 
-# The columns that may be shared, and how many steps of the encoded byte make one unit of each.
+# The columns that may be shared, with the number of steps of the encoded byte per unit of each. A step is one
+# query, or 1% of a utilization.
 STEPS_PER_UNIT = {"active": 1, "waiting": 1, "cpu": 100, "disk_busy": 100, "memory_used": 100}
 MAX_ENCODED_FIGURE = 254
 UNKNOWN_ENCODED_FIGURE = 255
--- a/applevale/gossip/load_reports.py
+++ b/applevale/gossip/load_reports.py
@@ -8,7 +8,7 @@
   the policy bounds and which fades within seconds; it cannot eject an engine.
 - A report is sent if the load has changed, or if nobody has reported the engine for a while. Reports from
   peers count too, so the traffic grows with the number of engines and not with the number of instances.
-- The cost is at most `MAX_COST_SHARE` of the worth of this instance's own requests.
+- The cost is at most `MAX_COST_SHARE` of the value (`worth`) of this instance's own requests.
 - A malformed datagram, and entries for an engine that is not on the engine list, change nothing.
 """
 
@@ -34,9 +34,9 @@
     short_engine_id,
 )
 
-MAX_COST_SHARE = 0.03  # Share of a request's worth that the load reports sent for it may cost.
+MAX_COST_SHARE = 0.03  # Highest cost of the load reports sent for a request, as a share of its worth.
 DISPATCH_COST_SHARE = 0.025  # The part of `MAX_COST_SHARE` that is available for dispatches.
-FULL_PRICE_BYTES = 256.0  # Bytes delivered to peers per request that cost `price`.
+FULL_PRICE_BYTES = 256.0  # Bytes delivered to peers per request whose cost is `price`.
 MIN_PRICE = 1e-9  # Replaces a price of 0 as a divisor.
 MAX_BUDGET_BYTES = 64.0  # Limit of the unspent budget.
 MIN_CHARGED_BYTES = 16  # Minimum charge for a datagram, however short it is.
@@ -72,7 +72,7 @@
         Args:
             columns: The columns of engines' reports, in their order.
             peers: Number of instances to which each datagram is delivered.
-            price: Share of the worth of a request that `FULL_PRICE_BYTES` cost.
+            price: Cost of delivering `FULL_PRICE_BYTES`, as a share of the worth of a request.
             seed: Seed of the random sample of dispatches.
         """
         bytes_per_request = FULL_PRICE_BYTES / max(price, MIN_PRICE) / max(1, peers)
@@ -120,7 +120,7 @@
         return bool(self.pending_threads or self.pending_reports)
 
     def next_datagram(self) -> bytes | None:
-        """Return the pending dispatches and reports as one datagram; None if there are none, or no budget.
+        """Return what is pending as one datagram; None if nothing is, or if the budget does not suffice.
 
         Nothing is pending afterwards: what does not fit into the datagram or the budget is dropped.
         """
