--- a/applevale/zones/health.py
+++ b/applevale/zones/health.py
@@ -73,7 +73,7 @@
             self.failure_times.popleft()
 
     def failed_share(self, now: float) -> float:
-        """Return the share of failing engines among those with recent results; 0 with too few failures."""
+        """Return the share of failing engines among those with recent results; 0 for too few failures."""
         recent = [engine for engine in self.engines.values() if engine.has_recent_result(now)]
         failing_count = sum(engine.is_failing(now) for engine in recent)
         failure_count = sum(at >= now - RESULT_WINDOW_SECONDS for at in self.failure_times)
--- a/applevale/zones/plan.py
+++ b/applevale/zones/plan.py
@@ -69,12 +69,12 @@
         return None
 
     def max_flow(self, pair: ZonePair) -> float:
-        """Return how many cores of the target zone the home zone may use, by the limit of the pair."""
+        """Return how many cores of the target zone the limit of the pair lets the home zone use."""
         share = find_share(self.spill_limits, pair.home, pair.target, default=1.0)
         return share * self.zones[pair.target].capacity
 
     def movable_demand(self, zone: str) -> float:
-        """Return the cores that classes use whose work may leave the zone."""
+        """Return the cores used by classes whose work may leave the zone."""
         demand = self.zones[zone].demand
         return sum(cores for name, cores in demand.items() if name not in self.pinned_classes)
 
--- a/applevale/zones/recovery.py
+++ b/applevale/zones/recovery.py
@@ -16,8 +16,8 @@
 
 from .settings import RecoverySettings
 
-TRIAL_SUCCESSES = 3  # Consecutive successes with which a trial ends.
-PHASES_PER_RECOVERY = 4  # Lost, trial, ramping, healthy.
+TRIAL_SUCCESSES = 3  # Consecutive successes that end a trial.
+PHASES_PER_RECOVERY = 4  # The phases are lost, trial, ramping and healthy.
 
 
 class RecoveryPhase(Enum):
@@ -104,7 +104,7 @@
                 return 0.0
 
     def max_phase_changes(self, duration: float) -> float:
-        """Return an upper bound of the number of phase changes within `duration` seconds."""
+        """Return an upper bound on the number of phase changes within `duration` seconds."""
         return PHASES_PER_RECOVERY * (duration / self.settings.min_cooldown + 1)
 
     def _is_relapse(self, now: float) -> bool:
--- a/applevale/zones/sliding_window.py
+++ b/applevale/zones/sliding_window.py
@@ -32,7 +32,7 @@
         self.total = 0.0
 
     def used(self, now: float) -> float:
-        """Return the work in the window that ends now; drops older records."""
+        """Return the work in the window that ends now, in core seconds; drop older records."""
         oldest = now - self.length
         while self.records and self.records[0].sent_at <= oldest:
             self.total -= self.records.popleft().work
@@ -45,7 +45,7 @@
         return self.used(now) + work <= limit
 
     def add(self, now: float, work: float) -> None:
-        """Record work that was sent now."""
+        """Record work in core seconds that was sent now."""
         self.used(now)
         self.records.append(WorkRecord(now, work))
         self.total += work
--- a/applevale/zones/zone_router.py
+++ b/applevale/zones/zone_router.py
@@ -20,7 +20,7 @@
 from .settings import ZoneSettings
 from .sliding_window import SlidingWindow
 
-SUCCESSES = frozenset({api.Result.OK, api.Result.REJECTED})  # The engine responded.
+SUCCESSES = frozenset({api.Result.OK, api.Result.REJECTED})  # Results with a response from the engine.
 FAILURES = frozenset({api.Result.CONNECT_FAILED, api.Result.RESET, api.Result.TIMEOUT})
 
 
@@ -48,7 +48,7 @@
 class ZoneRouter(api.Router):
     """A router that prefers the home zone and limits the work sent to other zones.
 
-    Zones and classes are indices into the names given. Work is in core seconds, and times are in seconds.
+    Zones and classes are indices into their lists of names. Work is in core seconds, times are in seconds.
     """
 
     def __init__(
