--- a/applevale/config/model.py
+++ b/applevale/config/model.py
@@ -25,7 +25,7 @@
         feed_address: The address of the control feed; without one the engine list stays as in
             `known_updates`.
         seed: The seed of all random draws.
-        max_descriptors: The most file descriptors that the process may have open.
+        max_descriptors: Maximum number of file descriptors that the process may have open.
         memory_bytes: The memory available to the process, of which buffers for clients take a share.
         settings: The settings of the decision module.
         connection_limits: The limits of connections to engines.
@@ -35,8 +35,9 @@
         registry: The settings of the key-value registry; without them the engine list comes from the feed.
         zones: The content of the zones file; without it requests are not routed by zone.
         admin_address: The address of the admin API; without it there is no admin API.
-        json_log: Whether the log has JSON lines in place of plain ones.
-        engine_connects_per_second: The most connects to one engine by the whole fleet; None is no limit.
+        json_log: Whether the log has JSON lines instead of plain ones.
+        engine_connects_per_second: Maximum rate of connects to one engine by the whole fleet, per second;
+            None for no limit.
         membership_probe_interval: The seconds between two membership probes; None disables membership.
         local_address: The source address of outgoing connections; empty for the system's choice.
     """
--- a/applevale/config/sections.py
+++ b/applevale/config/sections.py
@@ -1,6 +1,6 @@
-"""Functions that read and check one section of the configuration each.
+"""Functions, each of which reads and checks one section of the configuration.
 
-All of them raise ConfigError.
+They raise ConfigError if a value is missing or invalid.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
         from ..discovery.registry import settings, source
 
         registry = settings.read_settings(raw["registry"])
-        source.load_session_class(registry.kind)  # fails here if a library is missing
+        source.load_session_class(registry.kind)  # Raises ImportError if a library is missing.
         return registry
     except ImportError as error:
         raise ConfigError(f"registry: {error.name} is missing: install the extra 'registry'") from None
@@ -107,7 +107,7 @@
 
 
 def read_engine_connects(raw: Mapping) -> float | None:
-    """Return the most connects per second to one engine by the whole fleet, or None for no limit."""
+    """Return the maximum rate of connects to one engine by the whole fleet, per second; None for no limit."""
     section = read_section(raw, "startup")
     reject_unknown_keys(section, "startup", "engine_connects")
     return read_number(section, "engine_connects", 0.0, MIN_ENGINE_CONNECTS_PER_SECOND) if section else None
--- a/applevale/config/settings_lines.py
+++ b/applevale/config/settings_lines.py
@@ -15,7 +15,7 @@
 from ..simulator_wire import settings as wire_settings
 from .model import ConfigError
 
-# The least time between a response and the next request with the same order key. Attempts are sent on
+# The minimum time between a response and the next request with the same order key. Attempts are sent on
 # several sockets in no particular order, so the client must have received the last row by then.
 ORDER_GAP_SECONDS = 0.1
 # Fields of `Settings` whose items have names, and their keys in the file.
@@ -66,7 +66,7 @@
     """Return the specs with their names from the file; path=value lines cannot contain spaces or commas.
 
     Raises:
-        ConfigError: Two items have the same name; a request would follow the rules of the wrong one.
+        ConfigError: Two items have the same name; a request could get the rules of the wrong one.
     """
     names = []
     for spec, item in zip(specs, raw_items):
--- a/applevale/config/values.py
+++ b/applevale/config/values.py
@@ -12,7 +12,7 @@
 
 
 def read_address(text: object, key: str) -> Address:
-    """Return the address in the form HOST:PORT.
+    """Parse an address in the form HOST:PORT.
 
     Raises:
         ConfigError: The text is not an address; the message begins with `key`.
