--- a/applevale/observability/events.py
+++ b/applevale/observability/events.py
@@ -20,9 +20,10 @@
 
 RATE_WINDOW_SECONDS = 1.0
 MAX_LINES_PER_KIND = 5
-MAX_EVENTS_PER_KIND = 100  # higher, because a reader needs the latest event to know the present state
+# Higher than the limit of lines, because a program needs the latest event to know the present state.
+MAX_EVENTS_PER_KIND = 100
 
-JsonWriter = Callable[[str, str, dict], None]  # takes kind, text and fields
+JsonWriter = Callable[[str, str, dict], None]  # Arguments: kind, text and fields.
 
 
 @dataclass(slots=True)
@@ -56,9 +57,9 @@
 
 
 _windows: dict[str, _RateWindow] = {}
-_queue: deque[_Line] = deque()  # includes lines that are logged during the write of another one
+_queue: deque[_Line] = deque()  # Lines to be written, including those logged during a write.
 _is_writing = False
-_json_writer: JsonWriter | None = None  # None selects plain lines
+_json_writer: JsonWriter | None = None  # None for plain lines.
 
 
 def use_json(instance: str) -> None:
@@ -104,7 +105,7 @@
     Args:
         kind: The kind of event, by which lines are limited.
         text: The text for people.
-        limit: The most lines of this kind per `RATE_WINDOW_SECONDS`.
+        limit: Maximum number of lines of this kind per `RATE_WINDOW_SECONDS`.
         **fields: Further members of the JSON object; they do not appear in a plain line.
     """
     now = time.monotonic()
