--- a/applevale/cli/registry.py
+++ b/applevale/cli/registry.py
@@ -33,7 +33,7 @@
     """The engine list in a registry.
 
     Attributes:
-        revision: The registry's revision of the list.
+        revision: Revision of the registry up to which the list is complete.
         digest: The digest of the list.
         entries: The valid records.
         errors: The errors of invalid records, by key.
