--- a/applevale/simulator_wire/adapter.py
+++ b/applevale/simulator_wire/adapter.py
@@ -22,7 +22,7 @@
 
 
 class Adapter:
-    """Runs the instances of one process.
+    """Runs the instances of the decision module in one process.
 
     Attributes:
         controllers: The decision module of each running instance, by instance number.
--- a/applevale/simulator_wire/decoder.py
+++ b/applevale/simulator_wire/decoder.py
@@ -41,7 +41,7 @@
 )
 from .units import NANOSECONDS_PER_SECOND
 
-NOT_REPORTED = -1.0  # stands for a figure that an engine did not report
+NOT_REPORTED = -1.0  # Value of a figure that an engine did not report.
 
 
 @dataclass(frozen=True)
--- a/applevale/simulator_wire/settings.py
+++ b/applevale/simulator_wire/settings.py
@@ -9,7 +9,7 @@
 
 # Load report columns whose meaning depends on the deployment, with the settings that state their meaning.
 COLUMN_SETTINGS = {"x0": "report_x0", "x1": "report_x1"}
-# The names of these meanings in `Settings.report_columns`.
+# Column names in `Settings.report_columns`, by the meaning that such a setting states.
 COLUMN_MEANINGS = {"share_of_memory_granted": "memory_used", "share_of_disks_busy": "disk_busy"}
 BOOLEANS = {"true": True, "false": False}
 
@@ -42,7 +42,7 @@
             ) from None
 
     def get_seconds(self, path: str, default: float) -> float:
-        """Return in seconds a time that is stated in nanoseconds; `default` is in seconds."""
+        """Return a time in seconds. The value at `path` is in nanoseconds, `default` in seconds."""
         return self.get(path, float, default * NANOSECONDS_PER_SECOND) / NANOSECONDS_PER_SECOND
 
     def get_list(self, path: str) -> list[str]:
