--- a/tests/planted.py
+++ b/tests/planted.py
@@ -59,12 +59,12 @@
     return replace_by_faster_standby(self, now, standby, revision, cluster_id)
 
 
-def serving(self):
+def ignore_engine_list(self):
     """Report readiness even if the engine list is stale or holds no usable engine."""
     return not self.shutdown_requested.is_set()
 
 
-def never_give_up(self, now, draw):
+def never_suspend(self, now, random_value):
     """Never suspend the staleness guarantee, so that it can change with each answer."""
 
 
@@ -84,23 +84,26 @@
 
 
 def ignore_pause(self, now):
+    """Record the time of the event, and never react to a pause of the process."""
     self._health.last_event_at = now
 
 
 def refute_from_first_incarnation(self, now, reported):
+    """Start with the first incarnation, even if another member reported a higher one."""
     refute(self, now, reported if self._identity.incarnation else 0)
 
 
 def ignore_records_of_earlier_processes(self, now, record):
+    """Handle another member's record of this one only if it describes this process."""
     if record.process_id == self._identity.process_id:
         on_own_record(self, now, record)
 
 
 def ask_no_helpers(self, now, sequence_number, probe):
-    pass
+    """Never ask other members to probe a member that has not answered."""
 
 
-def sync_nothing(self, now, sender):
+def never_request_sync(self, now, sender):
     """Never request a sync."""
 
 
@@ -137,7 +140,7 @@
     },
     "no_helpers": {FailureDetector: {"_ask_helpers": ask_no_helpers}},
     "no_sync": {
-        AntiEntropy: {"request_sync": sync_nothing},
+        AntiEntropy: {"request_sync": never_request_sync},
         JoinProber: {"send_join": never_send_join},
     },
     "forged_suspicions": {MembershipProtocol: {"on_tick": report_all_members_dead}},
@@ -145,6 +148,7 @@
 
 
 def plant_membership_fault(fault, set_attribute=setattr):
+    """Replace the methods that implement a fault; `set_attribute` has the parameters of `setattr`."""
     for owner, methods in MEMBERSHIP_FAULTS[fault].items():
         for name, method in methods.items():
             assert hasattr(owner, name)
@@ -155,8 +159,8 @@
     "arrival": lambda: setattr(RegistryWatcher, "on_revision", confirm_as_of_response),
     "on_top": lambda: setattr(RequestScheduler, "poll", poll_while_one_is_in_flight),
     "leaves": lambda: setattr(FailoverController, "replace_by_faster_standby", promote_slow_standby),
-    "ready": lambda: setattr(Application, "is_ready_for_clients", serving),
-    "thrash": lambda: setattr(StalenessGuard, "_suspend", never_give_up),
+    "ready": lambda: setattr(Application, "is_ready_for_clients", ignore_engine_list),
+    "thrash": lambda: setattr(StalenessGuard, "_suspend", never_suspend),
     "compaction": lambda: setattr(RegistryWatcher, "on_compacted", ignore_compaction),
     "staleness": lambda: setattr(RegistryWatcher, "is_fresh", lambda self, now: True),
 }
