--- a/applevale/cli/experiments.py
+++ b/applevale/cli/experiments.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from ..simulation.experiment import Experiment
-    from ..simulation.runners import Machine
+    from ..simulation.runners import StateMachine
 
 experiment = typer.Typer(no_args_is_help=True, help="Simulate state machines over a grid of parameters.")
 
@@ -47,10 +47,10 @@
         counts = grid.run(specification, machine.run, Path(folder), jobs or None, show_progress)
     except (OSError, ExperimentError) as error:
         fail(str(error))
-    typer.echo(f"{folder}: {counts.completed} runs completed, {counts.known} already had results")
+    typer.echo(f"{folder}: {counts.completed} runs completed, {counts.already_stored} already had results")
 
 
-def _read_experiment(path: str) -> tuple[Experiment, Machine]:
+def _read_experiment(path: str) -> tuple[Experiment, StateMachine]:
     """Read and check an experiment file, and return the experiment and its state machine.
 
     Raises:
@@ -86,16 +86,16 @@
 
     try:
         first, second = (results.read_results(Path(folder) / "results.csv") for folder in (one, other))
-        unknown = set(figure) - set(results.figures(first))
+        unknown = set(figure) - set(results.figure_names(first))
         if unknown:
             raise results.ExperimentError(f"--figure: {one} has no figure {', '.join(sorted(unknown))}")
     except results.ExperimentError as error:
         fail(str(error))
-    names = figure or results.figures(first)
+    names = figure or results.figure_names(first)
     for row in results.compare(first, second, names):
         typer.echo(
             f"{row.case:14} {row.size:>6} {row.figure:22} {row.pair_count:4} pairs  "
-            f"{row.mean:+10.3f}  {row.low:+10.3f} to {row.high:+10.3f}"
+            f"{row.mean:+10.3f}  {row.lower_bound:+10.3f} to {row.upper_bound:+10.3f}"
         )
 
 
@@ -111,8 +111,8 @@
 
     try:
         rows = results.read_results(Path(folder) / "results.csv")
-        if figure not in results.figures(rows):
+        if figure not in results.figure_names(rows):
             raise results.ExperimentError(f"figure: {folder} has no figure {figure}")
-        results.chart(rows, figure, Path(out))
+        results.draw_chart(rows, figure, Path(out))
     except (OSError, results.ExperimentError) as error:
         fail(str(error))
--- a/applevale/simulation/experiment.py
+++ b/applevale/simulation/experiment.py
@@ -60,11 +60,11 @@
 
     Attributes:
         completed: Runs completed by the call.
-        known: Results that the folder already held, also those of other code or grids.
+        already_stored: Results that the folder already held, also those of other code or grids.
     """
 
     completed: int
-    known: int
+    already_stored: int
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/applevale/simulation/results.py
+++ b/applevale/simulation/results.py
@@ -25,15 +25,14 @@
 
     Pairs of runs with the same seed are compared.
 
-
     Attributes:
         case: Name of the scenario.
         size: Number of members.
         figure: Name of the figure.
         pair_count: Number of pairs compared.
         mean: Mean of the differences, second minus first.
-        low: Lower bound of the 95% confidence interval of the mean, by Student's t distribution.
-        high: Upper bound of this interval.
+        lower_bound: Lower bound of the 95% confidence interval of the mean, by Student's t distribution.
+        upper_bound: Upper bound of this interval.
     """
 
     case: str
@@ -41,8 +40,8 @@
     figure: str
     pair_count: int
     mean: float
-    low: float
-    high: float
+    lower_bound: float
+    upper_bound: float
 
 
 def read_results(path: Path) -> list[Row]:
@@ -61,7 +60,7 @@
     return [row for row in rows if None not in row and None not in row.values()]
 
 
-def figures(rows: list[Row]) -> list[str]:
+def figure_names(rows: list[Row]) -> list[str]:
     """Return the names of all figures, in the order of the columns."""
     return [name for name in rows[0] if name not in INPUT_COLUMNS] if rows else []
 
@@ -86,13 +85,15 @@
     from scipy import stats
 
     mean = sum(values) / len(values)
-    low = high = mean
+    lower_bound = upper_bound = mean
     if len(values) > 1 and len(set(values)) > 1:
-        low, high = stats.t.interval(CONFIDENCE_LEVEL, len(values) - 1, loc=mean, scale=stats.sem(values))
-    return Comparison(case, size, name, len(values), mean, float(low), float(high))
+        lower_bound, upper_bound = stats.t.interval(
+            CONFIDENCE_LEVEL, len(values) - 1, loc=mean, scale=stats.sem(values)
+        )
+    return Comparison(case, size, name, len(values), mean, float(lower_bound), float(upper_bound))
 
 
-def chart(rows: list[Row], name: str, path: Path) -> None:
+def draw_chart(rows: list[Row], name: str, path: Path) -> None:
     """Draw a chart of one figure over the sizes: mean and maximum over the seeds, by version and case."""
     import matplotlib
 
--- a/applevale/simulation/runners.py
+++ b/applevale/simulation/runners.py
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True)
-class Machine:
+class StateMachine:
     """A state machine that experiments can run.
 
     Attributes:
@@ -116,4 +116,4 @@
     check: Callable[[dict[str, dict[str, float]], list[str]], None]
 
 
-RUNNERS = {"membership": Machine(run_membership, check_membership)}
+RUNNERS = {"membership": StateMachine(run_membership, check_membership)}
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -59,9 +59,9 @@
     (result,) = results.compare(rows([1, 2, 3, 9]), rows([2, 4, 4]), ["x"])
     assert (result.case, result.size, result.figure, result.pair_count) == ("c", "5", "x", 3)
     assert round(result.mean, 6) == 1.333333
-    assert round(result.low, 3) == -0.101 and round(result.high, 3) == 2.768
+    assert round(result.lower_bound, 3) == -0.101 and round(result.upper_bound, 3) == 2.768
     same = results.compare(rows([1, 2]), rows([2, 3]), ["x"])[0]
-    assert (same.mean, same.low, same.high) == (1.0, 1.0, 1.0)
+    assert (same.mean, same.lower_bound, same.upper_bound) == (1.0, 1.0, 1.0)
 
 
 def test_an_invalid_experiment_is_reported_in_one_line_with_the_place(tmp_path):
