--- a/applevale/cli/rig.py
+++ b/applevale/cli/rig.py
@@ -67,7 +67,7 @@
         fail(f"--case: {case!r} is unknown; expected one of: {', '.join(CASES)}")
     if baseline and not os.path.isfile(os.path.join(baseline, "applevale", "__main__.py")):
         fail(f"--baseline: {baseline}: not a checkout of this project")
-    plan = FleetPlan(nodes, seed, schedule=_read_steps(schedule) if schedule else ())
+    plan = FleetPlan(nodes, seed, fault_steps=_read_steps(schedule) if schedule else ())
     if not as_json:
         typer.echo(f"rig fleet: case {case}, {nodes} processes, seed {seed}", err=True)
     baseline_result = None
--- a/applevale/harness/fleet_plan.py
+++ b/applevale/harness/fleet_plan.py
@@ -22,7 +22,7 @@
         engine_connects_per_second: Limit on the connections per second to one engine, over the whole
             fleet; 0 sets no limit.
         store_snapshots: Whether instances store snapshots of the engine list.
-        schedule: Fault steps for the scenario `scheduled_faults`; empty: they are drawn from the seed.
+        fault_steps: Fault steps for the scenario `scheduled_faults`; empty: they are drawn from the seed.
         with_membership: Whether instances run the membership protocol; a UDP proxy forwards its datagrams.
         with_proxies: Whether instances reach engines and registry through TCP proxies, which apply faults.
         checkout: Folder of another checkout whose application is run, for a baseline.
@@ -39,7 +39,7 @@
     cold_engine_count: int = 0
     engine_connects_per_second: float = 20.0
     store_snapshots: bool = False
-    schedule: tuple[Step, ...] = ()
+    fault_steps: tuple[Step, ...] = ()
     with_membership: bool = False
     with_proxies: bool = False
     checkout: str | None = None
--- a/applevale/harness/scenarios/instance_scenarios.py
+++ b/applevale/harness/scenarios/instance_scenarios.py
@@ -123,7 +123,7 @@
 
 async def scheduled_faults(fleet: Fleet) -> None:
     """The fault schedule of the plan, or one drawn from the seed, is executed while engines are drained."""
-    steps = list(fleet.plan.schedule) or draw_schedule(fleet.plan.seed, fleet.plan.instance_count)
+    steps = list(fleet.plan.fault_steps) or draw_schedule(fleet.plan.seed, fleet.plan.instance_count)
     await start_and_wait_until_ready(fleet)
     await measure_at_rest(fleet)
     playing = asyncio.create_task(fleet.play(steps))
