--- a/applevale/fault_injection/scenarios.py
+++ b/applevale/fault_injection/scenarios.py
@@ -30,40 +30,42 @@
 INBOUND_CUT_SHARE = 0.5  # probability that the flapping links of a member are its inbound ones
 
 
-def _choose_members(nodes: int, random: Random, share: float) -> list[str]:
-    count = max(1, round(nodes * share))
-    return [f"n{number}" for number in sorted(random.sample(range(nodes), count))]
+def _choose_members(member_count: int, random: Random, share: float) -> list[str]:
+    count = max(1, round(member_count * share))
+    return [f"n{number}" for number in sorted(random.sample(range(member_count), count))]
 
 
 def _kill(share: float) -> StepGenerator:
-    return lambda nodes, random: [
-        KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, share))
+    return lambda member_count, random: [
+        KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(member_count, random, share))
     ]
 
 
-def _rolling_restart(nodes: int, random: Random) -> list[Step]:
+def _rolling_restart(member_count: int, random: Random) -> list[Step]:
     """Terminate and restart all members, a tenth of them every 2.5 s."""
-    names = [f"n{number}" for number in range(nodes)]
+    names = [f"n{number}" for number in range(member_count)]
     random.shuffle(names)
-    group_size = max(1, nodes // 10)
+    group_size = max(1, member_count // 10)
     return [
         TerminateProcess(
             at=FIRST_FAULT_AT + 2.5 * group,
             processes=names[first : first + group_size],
             restart_after=0.1,
         )
-        for group, first in enumerate(range(0, nodes, group_size))
+        for group, first in enumerate(range(0, member_count, group_size))
     ]
 
 
 def _pause(share: float, duration: float) -> StepGenerator:
-    return lambda nodes, random: [
-        PauseProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, share), duration=duration)
+    return lambda member_count, random: [
+        PauseProcess(
+            at=FIRST_FAULT_AT, processes=_choose_members(member_count, random, share), duration=duration
+        )
     ]
 
 
 def _between_all(condition: LinkCondition, duration: float) -> StepGenerator:
-    return lambda nodes, random: [
+    return lambda member_count, random: [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT, sources=["n*"], targets=["n*"], condition=condition, duration=duration
         )
@@ -72,10 +74,10 @@
 
 def _from_one_member(condition: LinkCondition, duration: float) -> StepGenerator:
     """Apply a condition to all traffic from one member."""
-    return lambda nodes, random: [
+    return lambda member_count, random: [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT,
-            sources=_choose_members(nodes, random, 0),
+            sources=_choose_members(member_count, random, 0),
             targets=["n*"],
             condition=condition,
             duration=duration,
@@ -85,19 +87,19 @@
 
 def _to_one_member(condition: LinkCondition, duration: float) -> StepGenerator:
     """Apply a condition to all traffic to one member."""
-    return lambda nodes, random: [
+    return lambda member_count, random: [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT,
             sources=["n*"],
-            targets=_choose_members(nodes, random, 0),
+            targets=_choose_members(member_count, random, 0),
             condition=condition,
             duration=duration,
         )
     ]
 
 
-def _cut_one_pair(nodes: int, random: Random) -> list[Step]:
-    source, target = random.sample(range(nodes), 2)
+def _cut_one_pair(member_count: int, random: Random) -> list[Step]:
+    source, target = random.sample(range(member_count), 2)
     return [
         ApplyLinkCondition(
             at=FIRST_FAULT_AT, sources=[f"n{source}"], targets=[f"n{target}"], condition=CUT, duration=12.0
@@ -105,10 +107,10 @@
     ]
 
 
-def _flapping_links(nodes: int, random: Random) -> list[Step]:
+def _flapping_links(member_count: int, random: Random) -> list[Step]:
     """Cut off a tenth of the members in one direction for 2 of every 4 seconds, four times."""
     steps: list[Step] = []
-    for name in _choose_members(nodes, random, 0.1):
+    for name in _choose_members(member_count, random, 0.1):
         is_inbound = random.random() < INBOUND_CUT_SHARE
         for repetition in range(4):
             sources, targets = (["n*"], [name]) if is_inbound else ([name], ["n*"])
@@ -124,8 +126,8 @@
     return steps
 
 
-def _partition(nodes: int, random: Random, group_count: int) -> list[list[str]]:
-    names = [f"n{number}" for number in range(nodes)]
+def _partition(member_count: int, random: Random, group_count: int) -> list[list[str]]:
+    names = [f"n{number}" for number in range(member_count)]
     random.shuffle(names)
     return [names[group::group_count] for group in range(group_count)]
 
@@ -141,30 +143,30 @@
     ]
 
 
-def _two_halves(nodes: int, random: Random) -> list[Step]:
-    return _cut_both_ways(*_partition(nodes, random, 2), duration=10.0)
+def _two_halves(member_count: int, random: Random) -> list[Step]:
+    return _cut_both_ways(*_partition(member_count, random, 2), duration=10.0)
 
 
-def _three_groups(nodes: int, random: Random) -> list[Step]:
+def _three_groups(member_count: int, random: Random) -> list[Step]:
     """Cut two of three groups off from each other; the third group reaches both."""
-    first, _, third = _partition(nodes, random, 3)
+    first, _, third = _partition(member_count, random, 3)
     return _cut_both_ways(first, third, duration=10.0)
 
 
-def _one_way_cut(nodes: int, random: Random) -> list[Step]:
+def _one_way_cut(member_count: int, random: Random) -> list[Step]:
     """Cut all traffic from 40% of the members to one other member."""
-    names = _choose_members(nodes, random, 0.4)
-    target = random.choice([f"n{number}" for number in range(nodes) if f"n{number}" not in names])
+    names = _choose_members(member_count, random, 0.4)
+    target = random.choice([f"n{number}" for number in range(member_count) if f"n{number}" not in names])
     return [
         ApplyLinkCondition(at=FIRST_FAULT_AT, sources=names, targets=[target], condition=CUT, duration=12.0)
     ]
 
 
-def _repeated_pauses(nodes: int, random: Random) -> list[Step]:
+def _repeated_pauses(member_count: int, random: Random) -> list[Step]:
     return [
         PauseRepeatedly(
             at=FIRST_FAULT_AT,
-            processes=_choose_members(nodes, random, 0.25),
+            processes=_choose_members(member_count, random, 0.25),
             duration=0.3,
             interval=0.7,
             count=15,
@@ -172,40 +174,46 @@
     ]
 
 
-def _quick_restart(nodes: int, random: Random) -> list[Step]:
-    return [KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, 0), restart_after=0.1)]
+def _quick_restart(member_count: int, random: Random) -> list[Step]:
+    return [
+        KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(member_count, random, 0), restart_after=0.1)
+    ]
 
 
-def _quick_restarts(nodes: int, random: Random) -> list[Step]:
+def _quick_restarts(member_count: int, random: Random) -> list[Step]:
     """Kill a member and restart it 100 ms later, three times."""
-    name = _choose_members(nodes, random, 0)
+    name = _choose_members(member_count, random, 0)
     return [
         KillProcess(at=FIRST_FAULT_AT + 3.0 * repetition, processes=name, restart_after=0.1)
         for repetition in range(3)
     ]
 
 
-def _two_waves_of_pauses(nodes: int, random: Random) -> list[Step]:
+def _two_waves_of_pauses(member_count: int, random: Random) -> list[Step]:
     """Pause a quarter of the members for 6 s, and another quarter from 1.5 s later on."""
-    names = [f"n{number}" for number in range(nodes)]
+    names = [f"n{number}" for number in range(member_count)]
     random.shuffle(names)
-    quarter = max(1, nodes // 4)
+    quarter = max(1, member_count // 4)
     return [
         PauseProcess(at=FIRST_FAULT_AT, processes=names[:quarter], duration=6.0),
         PauseProcess(at=FIRST_FAULT_AT + 1.5, processes=names[quarter : 2 * quarter], duration=6.0),
     ]
 
 
-def _late_restart(nodes: int, random: Random) -> list[Step]:
+def _late_restart(member_count: int, random: Random) -> list[Step]:
     """Kill a member and restart it long after all others have detected its death."""
-    return [KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, 0), restart_after=8.0)]
+    return [
+        KillProcess(at=FIRST_FAULT_AT, processes=_choose_members(member_count, random, 0), restart_after=8.0)
+    ]
 
 
-def _upgrades(nodes: int, random: Random) -> list[Step]:
-    return [UpgradeProcess(at=FIRST_FAULT_AT, processes=_choose_members(nodes, random, 0.1), overlap=6.0)]
+def _upgrades(member_count: int, random: Random) -> list[Step]:
+    return [
+        UpgradeProcess(at=FIRST_FAULT_AT, processes=_choose_members(member_count, random, 0.1), overlap=6.0)
+    ]
 
 
-def _mixed_faults(nodes: int, random: Random) -> list[Step]:
+def _mixed_faults(member_count: int, random: Random) -> list[Step]:
     """Combine, in this order: a kill, a pause of a quarter, loss, a one-way cut and a quick restart."""
     parts: list[tuple[float, StepGenerator]] = [
         (0.0, _kill(0)),
@@ -216,7 +224,7 @@
     ]
     steps: list[Step] = []
     for offset, generate_steps in parts:
-        for step in generate_steps(nodes, random):
+        for step in generate_steps(member_count, random):
             steps.append(msgspec.structs.replace(step, at=step.at + offset))
     return steps
 
@@ -225,7 +233,7 @@
 
 SCENARIOS: dict[str, StepGenerator] = {
     "membership": _mixed_faults,
-    "calm": lambda nodes, random: [],
+    "calm": lambda member_count, random: [],
     "killed": _kill(0),
     "killed-47": _kill(0.47),
     "rolling": _rolling_restart,
@@ -257,9 +265,9 @@
 }
 
 
-def scenario_steps(name: str, nodes: int, seed: int) -> list[Step]:
+def scenario_steps(name: str, member_count: int, seed: int) -> list[Step]:
     """Return the steps of a scenario, sorted by time."""
-    steps = SCENARIOS[name](nodes, Random(f"{name} {nodes} {seed}"))
+    steps = SCENARIOS[name](member_count, Random(f"{name} {member_count} {seed}"))
     return sorted(steps, key=lambda step: step.at)
 
 
