--- a/applevale/fault_injection/schedule.py
+++ b/applevale/fault_injection/schedule.py
@@ -133,20 +133,22 @@
 SLOW_REGISTRY_SECONDS = 3.0  # duration of a phase in which the registry answers slowly
 
 
-def draw_schedule(seed: int, nodes: int, steps: int = 12, span: float = 24.0) -> list[Step]:
-    """Return random steps over `span` seconds; the same arguments always return the same steps.
+def draw_schedule(
+    seed: int, process_count: int, step_count: int = 12, total_duration: float = 24.0
+) -> list[Step]:
+    """Return random steps over `total_duration` seconds; the same arguments always return the same steps.
 
     Each schedule leaves out some kinds of faults (swarm testing), so that one kind cannot mask the failures
     that another would reveal.
     """
-    random = Random(f"{seed} {nodes}")
+    random = Random(f"{seed} {process_count}")
     kinds = random.sample(sorted(MAX_STEP_SECONDS), k=random.randint(2, len(MAX_STEP_SECONDS) - 1))
     drawn_steps: list[Step] = []
-    for _ in range(steps):
+    for _ in range(step_count):
         kind = random.choice(kinds)
-        at = round(random.uniform(0.0, span), 2)
-        count = random.choice((1, max(1, nodes // 4), max(1, nodes // 3)))
-        processes = [f"n{number}" for number in sorted(random.sample(range(nodes), count))]
+        at = round(random.uniform(0.0, total_duration), 2)
+        count = random.choice((1, max(1, process_count // 4), max(1, process_count // 3)))
+        processes = [f"n{number}" for number in sorted(random.sample(range(process_count), count))]
         duration = round(random.uniform(0.1, 1.0) * MAX_STEP_SECONDS[kind], 2)
         drawn_steps += _draw_steps(kind, at, processes, duration, random)
     return sorted(drawn_steps, key=lambda step: step.at)
@@ -196,7 +198,7 @@
     ]
 
 
-class FaultPlayer(Protocol):
+class StepExecutor(Protocol):
     """Executes the steps of a schedule."""
 
     async def execute(self, step: Step) -> None:
@@ -205,7 +207,7 @@
 
 async def play_schedule(
     steps: list[Step],
-    player: FaultPlayer,
+    executor: StepExecutor,
     log: Callable[[float, Step], None],
     clock: Callable[[], float],
 ) -> None:
@@ -213,7 +215,7 @@
 
     Args:
         steps: The steps, sorted by time.
-        player: Executes the steps.
+        executor: Executes the steps.
         log: Called with the time and the step when a step starts.
         clock: Returns the time in seconds.
     """
@@ -223,7 +225,7 @@
         for step in steps:
             await asyncio.sleep(max(0.0, started_at + step.at - clock()))
             log(clock(), step)
-            step_tasks.append(asyncio.create_task(player.execute(step)))
+            step_tasks.append(asyncio.create_task(executor.execute(step)))
         await asyncio.gather(*step_tasks)
     finally:
         for task in step_tasks:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -102,7 +102,7 @@
 
 
 def test_steps_are_executed_at_their_times_and_logged():
-    class RecordingPlayer:
+    class RecordingExecutor:
         def __init__(self):
             self.ended = []
 
@@ -111,13 +111,13 @@
             self.ended.append(step.at)
 
     async def run():
-        player = RecordingPlayer()
+        executor = RecordingExecutor()
         logged = []
         steps = [schedule.OrderRegistry(at=at, order="sync") for at in (0, 0.01, 0.02)]
         await schedule.play_schedule(
-            steps, player, lambda at, step: logged.append(step.at), asyncio.get_running_loop().time
+            steps, executor, lambda at, step: logged.append(step.at), asyncio.get_running_loop().time
         )
-        assert logged == [0, 0.01, 0.02] and player.ended == [0.01, 0.02, 0]
+        assert logged == [0, 0.01, 0.02] and executor.ended == [0.01, 0.02, 0]
 
     asyncio.run(run())
 
