--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -6,13 +6,13 @@
 from math import inf
 
 from .drains import MAX_DRAIN_LAG_SECONDS, Drain, ListingChange, find_drains
-from .history import DISTANT_PAST, History, max_in_window, quantile
+from .history import DISTANT_PAST, History, max_count_in_window, quantile
 
 SESSIONS_AFTER_BREAK_SECONDS = 8.0  # period after an outage in which new sessions are counted
 MIN_OVERLAP_SECONDS = 0.001  # shorter overlaps of two reads are ignored
 
 # Figures on requests that must be 0 in each run.
-REQUEST_RULES = ("lost_requests", "answered_twice", "loads_twice", "order_breaks")
+REQUEST_ZERO_FIGURES = ("lost_requests", "answered_twice", "loads_twice", "order_breaks")
 # All figures that must be 0 in each run, whatever the scenario.
 ZERO_FIGURES = (
     "ready_early",
@@ -20,7 +20,7 @@
     "engines_fallen",
     "missed_drains",
     "wrong_lists",
-    *REQUEST_RULES,
+    *REQUEST_ZERO_FIGURES,
 )
 
 
@@ -157,11 +157,11 @@
         "full_reads_most": max(full, default=0),
         "reads_until_rest": sum(at < rest_at for at in read_times),
         "sessions": sum(1 for _ in history.select("session", until=rest_at)),
-        "list_reads_s_max": max_in_window(read_times, 1.0),
+        "list_reads_s_max": max_count_in_window(read_times, 1.0),
         "list_connections_max": max_open_sessions(history),
         "questions_on_top": count_overlapping_reads(history),
         "connects_per_engine_s_max": max(
-            (max_in_window(times, 1.0) for times in connects.values()), default=0
+            (max_count_in_window(times, 1.0) for times in connects.values()), default=0
         ),
         "engines_fallen": sum(1 for _ in history.select("fell")),
     }
--- a/applevale/checkers/history.py
+++ b/applevale/checkers/history.py
@@ -70,7 +70,7 @@
         return History(msgspec.json.decode(row) for row in file if row.strip())
 
 
-def max_in_window(times: Iterable[float], window: float) -> int:
+def max_count_in_window(times: Iterable[float], window: float) -> int:
     """Return the maximum number of times within any window of `window` seconds."""
     ordered = sorted(times)
     max_count = 0
--- a/applevale/checkers/membership.py
+++ b/applevale/checkers/membership.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from .history import History, max_in_window, quantile
+from .history import History, max_count_in_window, quantile
 from .membership_truth import GroundTruth
 
 GRACE_SECONDS = 1.0
@@ -246,4 +246,4 @@
         [event["at"] for event in events for _ in range(event["count"])]
         for events in history.by_process("sent").values()
     )
-    return max((max_in_window(times, RATE_WINDOW_SECONDS) for times in times_by_member), default=0)
+    return max((max_count_in_window(times, RATE_WINDOW_SECONDS) for times in times_by_member), default=0)
--- a/applevale/harness/registry/evaluation.py
+++ b/applevale/harness/registry/evaluation.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Sequence
 
 from ...api import EngineState
-from ...checkers.coldstart import REQUEST_RULES
+from ...checkers.coldstart import REQUEST_ZERO_FIGURES
 from ...checkers.drains import MAX_DRAIN_LAG_SECONDS, Drain, ListingChange, find_drains
 from ...checkers.history import quantile
 from ...discovery.registry.records import RecordError, read_record
@@ -20,7 +20,7 @@
 REPORTED_SECONDS_BEFORE_LATE_DRAIN = 3.0
 REPORTED_SECONDS_BEFORE_WRONG_LIST = 5.0
 MAX_REPORT_TEXT_LENGTH = 140
-VIOLATIONS = ("missed_drains", "wrong_lists", *REQUEST_RULES)  # figures that must be 0
+VIOLATIONS = ("missed_drains", "wrong_lists", *REQUEST_ZERO_FIGURES)  # figures that must be 0
 REGISTRY_COUNTERS = (
     "full_reads",
     "resumes",
@@ -113,7 +113,7 @@
         "drain_lag_ms": _lag_figures(lags),
         "missed_drains": sum(lag > MAX_DRAIN_LAG_SECONDS for lag in lags),
         "wrong_lists": totals["wrong_lists"],
-        **{name: violations[name] for name in REQUEST_RULES},
+        **{name: violations[name] for name in REQUEST_ZERO_FIGURES},
         "requests": sum(len(environment.clients.sent) for environment in environments),
         "served": totals["answered_served"],
         "held": totals["unconfirmed"],
--- a/applevale/harness/scenarios/runner.py
+++ b/applevale/harness/scenarios/runner.py
@@ -16,7 +16,7 @@
 MAX_READY_DELAY_SECONDS = 2.0  # of the p99 of starts beyond that of imports alone
 REGISTRY_COUNTERS = ("stalls", "trials", "slow_for_all", "declined", "given_up", "stale", "breaks")
 REQUEST_FIGURES = (
-    *coldstart_checker.REQUEST_RULES,
+    *coldstart_checker.REQUEST_ZERO_FIGURES,
     "requests",
     "served",
     "cut_by_ends",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 from applevale.api import EngineState
 from applevale.checkers import coldstart as coldstart_checker
-from applevale.checkers.history import History, max_in_window, read_history
+from applevale.checkers.history import History, max_count_in_window, read_history
 from applevale.discovery.registry.settings import RegistrySettings
 from applevale.fault_injection.link_conditions import LinkCondition
 from applevale.fault_injection.schedule import ApplyLinkCondition, KillProcess, PauseProcess
@@ -246,7 +246,7 @@
 
 
 def test_the_largest_number_of_events_within_a_window():
-    assert max_in_window([0.0, 0.5, 0.9, 1.0, 1.4, 3.0], 1.0) == 4
+    assert max_count_in_window([0.0, 0.5, 0.9, 1.0, 1.4, 3.0], 1.0) == 4
 
 
 def test_log_lines_in_plain_text_and_json_are_parsed():
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from applevale.checkers.history import max_in_window
+from applevale.checkers.history import max_count_in_window
 from applevale.discovery.endpoints import AttributeNames
 from applevale.discovery.registry.endpoint_table import EndpointTable
 from applevale.discovery.registry.watcher import RegistryWatcher
@@ -110,7 +110,7 @@
         for engine in engines:
             schedule.record_disconnect(engine, 1000.0)
     connect_all(1000.0)
-    assert max(max_in_window(times, 1.0) for times in connected_at.values()) <= rate
+    assert max(max_count_in_window(times, 1.0) for times in connected_at.values()) <= rate
 
 
 def test_a_small_fleet_connects_without_delay():
@@ -156,5 +156,5 @@
 
 
 def test_reconnects_after_an_outage_spread_out_and_without_jitter_they_coincide():
-    assert max_in_window(reconnect_times_after_an_outage(Random), 0.1) <= 35
-    assert max_in_window(reconnect_times_after_an_outage(lambda number: ConstantRandom()), 0.1) == 100
+    assert max_count_in_window(reconnect_times_after_an_outage(Random), 0.1) <= 35
+    assert max_count_in_window(reconnect_times_after_an_outage(lambda number: ConstantRandom()), 0.1) == 100
