--- a/applevale/checkers/views.py
+++ b/applevale/checkers/views.py
@@ -49,7 +49,7 @@
             yield event
 
 
-def last_views(events: Iterable[dict]) -> list[str]:
+def describe_last_views(events: Iterable[dict]) -> list[str]:
     """Return a row of text for each instance: its status, the members in its view and its last changes."""
     views: dict[str, ReportedView] = {}
     for event in events:
--- a/applevale/cli/members.py
+++ b/applevale/cli/members.py
@@ -16,14 +16,14 @@
     ],
 ) -> None:
     """Print the last membership view of each instance, from a history or from the log of a running fleet."""
-    from ..checkers.views import last_views, read_lines
+    from ..checkers.views import describe_last_views, read_lines
 
     try:
         if path == "-":
-            views = last_views(read_lines(sys.stdin.buffer))
+            views = describe_last_views(read_lines(sys.stdin.buffer))
         else:
             with open(path, "rb") as file:
-                views = last_views(read_lines(file))
+                views = describe_last_views(read_lines(file))
     except OSError as error:
         fail(f"{path}: {error.strerror}")
     if not views:
