--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -24,7 +24,7 @@
 )
 
 
-def drains(history: History) -> list[Drain]:
+def find_history_drains(history: History) -> list[Drain]:
     """Return all drains and deletions of engines, in the order of their ends."""
     arrivals = defaultdict(list)
     for event in history.select("arrival"):
@@ -131,7 +131,7 @@
     return max_open_count
 
 
-def figures(history: History, nodes: int) -> dict:
+def compute_figures(history: History, instance_count: int) -> dict:
     """Return the figures of a run, under the names that the harness prints them with."""
     return _start_figures(history) | _drain_figures(history) | _outage_figures(history)
 
@@ -182,7 +182,7 @@
 
 
 def _drain_figures(history: History) -> dict:
-    lags = [drain.lag for drain in drains(history)]
+    lags = [drain.lag for drain in find_history_drains(history)]
     return {
         "drains": len(lags),
         "drain_lag_ms": {
@@ -218,12 +218,12 @@
     return measured
 
 
-def violated_limits(run_figures: dict, nodes: int, limits: dict[str, float]) -> list[str]:
+def violated_limits(run_figures: dict, instance_count: int, limits: dict[str, float]) -> list[str]:
     """Describe the limits that a run exceeded.
 
     Args:
-        run_figures: The result of `figures`.
-        nodes: Number of instances that must be ready.
+        run_figures: The result of `compute_figures`.
+        instance_count: Number of instances that must be ready.
         limits: Maximum value of each figure, in addition to `ZERO_FIGURES`.
 
     Returns:
@@ -235,6 +235,6 @@
             missed.append(f"{name}: not measured")
         elif run_figures[name] > limit:
             missed.append(f"{name}: {run_figures[name]}, over {limit:g}")
-    if run_figures["ready"] < nodes:
-        missed.append(f"ready: {run_figures['ready']} of {nodes}")
+    if run_figures["ready"] < instance_count:
+        missed.append(f"ready: {run_figures['ready']} of {instance_count}")
     return missed
--- a/applevale/checkers/membership.py
+++ b/applevale/checkers/membership.py
@@ -72,7 +72,7 @@
     missed: int = 0
 
 
-def figures(history: History) -> dict:
+def compute_figures(history: History) -> dict:
     """Return the figures of a run, under the names that the harness prints them with."""
     truth = GroundTruth(history)
     joined_at = history.mark_time("joined") or 0.0
--- a/applevale/harness/scenarios/runner.py
+++ b/applevale/harness/scenarios/runner.py
@@ -66,11 +66,11 @@
 
 
 def _figures(fleet: Fleet, history: History, counters: dict[str, int], case: Case) -> dict:
-    nodes = fleet.plan.instance_count
-    figures = coldstart_checker.figures(history, nodes) | counters | _fleet_figures(fleet)
-    broken = coldstart_checker.violated_limits(figures, nodes, case.limits(figures, nodes))
+    instance_count = fleet.plan.instance_count
+    figures = coldstart_checker.compute_figures(history, instance_count) | counters | _fleet_figures(fleet)
+    broken = coldstart_checker.violated_limits(figures, instance_count, case.limits(figures, instance_count))
     if fleet.plan.with_membership:
-        membership_figures = membership_checker.figures(history)
+        membership_figures = membership_checker.compute_figures(history)
         broken += membership_checker.violated_limits(membership_figures, {})
         figures |= membership_figures | {"datagrams": dict(fleet.links.relay.stats)}
     if fleet.figures["bad_exits"]:
@@ -81,7 +81,7 @@
         "ok": not broken,
         "broken": broken,
         "seed": fleet.plan.seed,
-        "nodes": nodes,
+        "nodes": instance_count,
         "faults": _fault_counts(fleet),
         **figures,
     }
--- a/applevale/simulation/runners.py
+++ b/applevale/simulation/runners.py
@@ -70,7 +70,7 @@
     changes = {CONFIG_FIELDS[key]: settings[key] for key in settings if key in CONFIG_FIELDS}
     config = replace(config, timeouts=replace(config.timeouts, **changed_timeouts), **changes)
     fleet = SimulatedFleet(size, seed, config, start_joined=size >= MIN_START_JOINED_FLEET)
-    return _flatten(membership_checker.figures(History(fleet.run(case))))
+    return _flatten(membership_checker.compute_figures(History(fleet.run(case))))
 
 
 def _flatten(figures: dict) -> dict[str, float]:
--- a/tests/test_members_fleet.py
+++ b/tests/test_members_fleet.py
@@ -55,7 +55,7 @@
         finally:
             await fleet.stop()
         history = fleet.history()
-        return membership_checker.figures(history) | dict(fleet.violations()), history
+        return membership_checker.compute_figures(history) | dict(fleet.violations()), history
 
     return asyncio.run(run())
 
@@ -196,7 +196,7 @@
         return {"at": at, "event": "view", "who": "n0", "changes": [[name, change]]}
 
     def figures_of(*events):
-        return membership_checker.figures(History([*launched, *events]))
+        return membership_checker.compute_figures(History([*launched, *events]))
 
     launched = [{"at": 0.0, "event": "launched", "who": f"n{number}", "how": "start"} for number in range(3)]
     killed = {"at": 10.0, "event": "ended", "who": "n1", "how": "kill"}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -410,7 +410,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_simulated_fleet_keeps_its_guarantees(name):
-    figures = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
+    figures = membership_checker.compute_figures(History(SimulatedFleet(12, 1).run(name)))
     assert membership_checker.violated_limits(figures, {}) == []
     assert figures["datagram_max"] <= codec.MAX_DATAGRAM_BYTES
     assert figures["killed"] == (name == "killed")
@@ -438,9 +438,9 @@
 def test_the_simulation_detects_a_planted_fault(monkeypatch, fault, name, figure):
     with monkeypatch.context() as patch:
         plant_membership_fault(fault, patch.setattr)
-        figures = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
+        figures = membership_checker.compute_figures(History(SimulatedFleet(12, 1).run(name)))
     assert figures[figure] > 0
-    figures_without_fault = membership_checker.figures(History(SimulatedFleet(12, 1).run(name)))
+    figures_without_fault = membership_checker.compute_figures(History(SimulatedFleet(12, 1).run(name)))
     assert figures_without_fault[figure] == 0
 
 
@@ -448,7 +448,7 @@
     faulty_class = type(
         "ForgingProtocol", (MembershipProtocol,), MEMBERSHIP_FAULTS["forged_suspicions"][MembershipProtocol]
     )
-    figures = membership_checker.figures(
+    figures = membership_checker.compute_figures(
         History(SimulatedFleet(12, 1, faulty_protocol_class=faulty_class).run("calm"))
     )
     assert figures["false_dead"] == 0
