--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -131,7 +131,7 @@
     return max_open_count
 
 
-def compute_figures(history: History, instance_count: int) -> dict:
+def compute_figures(history: History) -> dict:
     """Return the figures of a run, under the names that the harness prints them with."""
     return _start_figures(history) | _drain_figures(history) | _outage_figures(history)
 
--- a/applevale/harness/scenarios/runner.py
+++ b/applevale/harness/scenarios/runner.py
@@ -67,7 +67,7 @@
 
 def _figures(fleet: Fleet, history: History, counters: dict[str, int], case: Case) -> dict:
     instance_count = fleet.plan.instance_count
-    figures = coldstart_checker.compute_figures(history, instance_count) | counters | _fleet_figures(fleet)
+    figures = coldstart_checker.compute_figures(history) | counters | _fleet_figures(fleet)
     broken = coldstart_checker.violated_limits(figures, instance_count, case.limits(figures, instance_count))
     if fleet.plan.with_membership:
         membership_figures = membership_checker.compute_figures(history)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -41,7 +41,7 @@
         ]
         assert all(process.returncode is not None for process in [*started, fleet.registry.process])
         history = fleet.history()
-        figures = coldstart_checker.compute_figures(history, fleet.plan.instance_count)
+        figures = coldstart_checker.compute_figures(history)
         return figures | dict(fleet.figures) | fleet.violations(), history
 
     return asyncio.run(run())
@@ -86,7 +86,7 @@
     history.write(str(tmp_path / "h.jsonl"))
     stored = read_history(str(tmp_path / "h.jsonl"))
     assert stored.events == history.events
-    assert coldstart_checker.compute_figures(stored, 6) == coldstart_checker.compute_figures(history, 6)
+    assert coldstart_checker.compute_figures(stored) == coldstart_checker.compute_figures(history)
 
 
 def test_six_instances_together_do_not_overload_cold_engines():
@@ -212,7 +212,7 @@
     assert coldstart_checker.find_history_drains(History(late)) == [
         coldstart_checker.Drain(2.0, 2.7, "10.0.0.1:1")
     ]
-    assert coldstart_checker.compute_figures(History(late), 1)["missed_drains"] == 1
+    assert coldstart_checker.compute_figures(History(late))["missed_drains"] == 1
     gone = [commit(1.0, "ready"), commit(2.0, "gone", address=""), arrival(2.3)]
     assert coldstart_checker.find_history_drains(History(gone)) == [
         coldstart_checker.Drain(2.0, 2.3, "10.0.0.1:1")
@@ -245,7 +245,7 @@
             read(7.6, 8, caller="c2"),
         ]
     )
-    figures = coldstart_checker.compute_figures(history, 1)
+    figures = coldstart_checker.compute_figures(history)
     assert figures["full_reads"] == 2 and figures["full_reads_most"] == 1 and figures["questions_on_top"] == 1
 
 
