--- a/applevale/fakes/faulty_proxy.py
+++ b/applevale/fakes/faulty_proxy.py
@@ -20,8 +20,8 @@
     PASS = "pass"
     REFUSE = "refuse"  # abort new connections
     STALL = "stall"  # keep all connections open, but forward no data
-    HALF = "half"  # forward half of the next chunk of an answer, abort its connection, return to PASS
-    GARBAGE = "garbage"  # replace the next chunk of an answer by random bytes, return to PASS
+    TRUNCATE = "half"  # forward half of the next chunk of an answer, abort its connection, return to PASS
+    CORRUPT = "garbage"  # replace the next chunk of an answer by random bytes, return to PASS
 
 
 class _FaultyStream(RelayStream):
@@ -78,15 +78,15 @@
 
 
 class _AnswerStream(_FaultyStream):
-    """Corrupts the next chunk in the modes HALF and GARBAGE."""
+    """Corrupts the next chunk in the modes TRUNCATE and CORRUPT."""
 
     def write_chunk(self, data: bytes) -> None:
         mode = self.proxy.mode
-        if mode in (ProxyMode.HALF, ProxyMode.GARBAGE):
+        if mode in (ProxyMode.TRUNCATE, ProxyMode.CORRUPT):
             self.proxy.mode = ProxyMode.PASS
-        if mode is ProxyMode.GARBAGE:
+        if mode is ProxyMode.CORRUPT:
             data = self.proxy.random.randbytes(len(data))
-        if mode is ProxyMode.HALF:
+        if mode is ProxyMode.TRUNCATE:
             data = data[: len(data) // 2]
             self.buffer.clear()
             self.buffered_bytes = 0
@@ -102,7 +102,7 @@
     """
 
     def __init__(self, target: Address, random: Random):
-        """Create a proxy to `target`; `random` is the source of the bytes of GARBAGE."""
+        """Create a proxy to `target`; `random` is the source of the bytes of CORRUPT."""
         super().__init__(target)
         self.random = random
         self.mode = ProxyMode.PASS
--- a/applevale/harness/registry/fault_injector.py
+++ b/applevale/harness/registry/fault_injector.py
@@ -58,8 +58,8 @@
 PROXY_MODES = {
     FaultKind.REFUSE_CONNECTIONS: ProxyMode.REFUSE,
     FaultKind.STALL_CONNECTIONS: ProxyMode.STALL,
-    FaultKind.TRUNCATE_RESPONSE: ProxyMode.HALF,
-    FaultKind.CORRUPT_RESPONSE: ProxyMode.GARBAGE,
+    FaultKind.TRUNCATE_RESPONSE: ProxyMode.TRUNCATE,
+    FaultKind.CORRUPT_RESPONSE: ProxyMode.CORRUPT,
 }
 # The attribute of a fake member that turns the fault on.
 MEMBER_FAULT_FLAGS = {
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -214,12 +214,12 @@
 def test_a_faulty_proxy_corrupts_one_answer_and_forwards_the_next():
     async def script(proxy, connect):
         reader, writer = await connect()
-        proxy.set_mode(ProxyMode.GARBAGE)
+        proxy.set_mode(ProxyMode.CORRUPT)
         writer.write(b"12345678")
         assert await reader.readexactly(8) == Random(1).randbytes(8)
         writer.write(b"next")
         assert await reader.readexactly(4) == b"next"
-        proxy.set_mode(ProxyMode.HALF)
+        proxy.set_mode(ProxyMode.TRUNCATE)
         writer.write(b"12345678")
         assert await reader.read() == b"1234"
         assert proxy.mode is ProxyMode.PASS
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -143,7 +143,7 @@
     run_scenario(scenario, kind)
 
 
-@pytest.mark.parametrize("mode", [ProxyMode.HALF, ProxyMode.GARBAGE])
+@pytest.mark.parametrize("mode", [ProxyMode.TRUNCATE, ProxyMode.CORRUPT])
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_truncated_or_corrupt_response_ends_the_session_and_leaves_the_list(kind, mode):
     async def scenario(environment):
