--- a/applevale/fakes/client_pool.py
+++ b/applevale/fakes/client_pool.py
@@ -13,7 +13,7 @@
 
 KEY_INTERVAL_SECONDS = 0.06  # minimum interval between two loads with the same key
 NEW_CONNECTION_KEY_INTERVAL_SECONDS = 0.25  # the same after the first request on a connection
-MAX_REPEATS = 500  # per pool; immediate repeats of immediate rejections would otherwise never end
+MAX_RESENDS = 500  # per pool; resending after immediate rejections would otherwise never end
 RECONNECT_INTERVAL_SECONDS = 0.1
 ANSWER_GRACE_SECONDS = 0.3  # after a request's deadline; an answer that arrives later counts as lost
 SETTLE_POLL_SECONDS = 0.02
@@ -65,7 +65,7 @@
         key_count: Number of different order keys of the loads.
         reconnect: Whether a closed connection is opened again, as the clients of the platform do.
         effort_ms: Work that each request declares, in milliseconds.
-        repeat_rejected: Whether a rejected request without a key is sent again at once, even if the program
+        resend_rejected: Whether a rejected request without a key is sent again at once, even if the program
             advises a delay.
     """
 
@@ -76,7 +76,7 @@
     key_count: int = 5
     reconnect: bool = False
     effort_ms: float = 20.0
-    repeat_rejected: bool = False
+    resend_rejected: bool = False
 
 
 class ClientConnection:
@@ -129,8 +129,8 @@
         self.address = address
         self.random = random
         self.profile = profile
-        self.repeat_limit = MAX_REPEATS if profile.repeat_rejected else 0
-        self.repeat_count = 0
+        self.resend_limit = MAX_RESENDS if profile.resend_rejected else 0
+        self.resend_count = 0
         self.sent: list[SentRequest] = []
         self.lost_connections = 0
         self.connections: list[ClientConnection] = []
@@ -226,8 +226,8 @@
     def _record_answer(self, request: SentRequest, answer: str) -> None:
         is_in_time = asyncio.get_running_loop().time() <= request.deadline + ANSWER_GRACE_SECONDS
         request.answers.append(answer if is_in_time else ANSWER_LATE)
-        if answer == ANSWER_REJECTED and not request.key and self.repeat_count < self.repeat_limit:
-            self.repeat_count += 1
+        if answer == ANSWER_REJECTED and not request.key and self.resend_count < self.resend_limit:
+            self.resend_count += 1
             self.send(request.method)
 
     async def settle(self) -> None:
--- a/applevale/harness/fleet_clients.py
+++ b/applevale/harness/fleet_clients.py
@@ -50,7 +50,7 @@
             connection_count=1,
             reconnect=True,
             effort_ms=CLIENT_EFFORT_MS,
-            repeat_rejected=self.plan.repeat_rejected,
+            resend_rejected=self.plan.resend_rejected,
         )
         instance.clients = ClientPool(instance.program.address, Random(self.random.random()), profile)
         await instance.clients.start()
--- a/applevale/harness/fleet_plan.py
+++ b/applevale/harness/fleet_plan.py
@@ -17,7 +17,7 @@
         engine_count: Number of fake engines.
         registry_reads_per_second: Reads per second that the fake registry can serve.
         requests_per_second: Client requests per second to each instance; 0 starts no clients.
-        repeat_rejected: Whether clients repeat a rejected request at once.
+        resend_rejected: Whether clients resend a rejected request at once.
         cold_engine_count: Number of engines that start cold, just before the instances.
         engine_connects_per_second: Limit on the connections per second to one engine, over the whole
             fleet; 0 sets no limit.
@@ -35,7 +35,7 @@
     engine_count: int = 80
     registry_reads_per_second: float = 600.0
     requests_per_second: float = 2.0
-    repeat_rejected: bool = False
+    resend_rejected: bool = False
     cold_engine_count: int = 0
     engine_connects_per_second: float = 20.0
     store_snapshots: bool = False
--- a/applevale/harness/scenarios/cases.py
+++ b/applevale/harness/scenarios/cases.py
@@ -14,7 +14,7 @@
     engine_network_outage,
     membership_scenario,
     overload_cold_engines,
-    repeat_rejected_requests,
+    resend_rejected_requests,
     restart_from_snapshots,
     rolling_restart,
     scheduled_faults,
@@ -129,7 +129,7 @@
         lambda figures, instance_count: {"pushed_most": 1},
         {"engine_count": 6, "cold_engine_count": 6, "requests_per_second": 10.0},
     ),
-    "eager": Case(repeat_rejected_requests, _rest_limits, {"repeat_rejected": True}),
+    "eager": Case(resend_rejected_requests, _rest_limits, {"resend_rejected": True}),
     "away": Case(long_registry_outage, _outage_limits),
     "snapshots": Case(
         restart_from_snapshots,
--- a/applevale/harness/scenarios/instance_scenarios.py
+++ b/applevale/harness/scenarios/instance_scenarios.py
@@ -87,8 +87,8 @@
     await asyncio.sleep(12.0)
 
 
-async def repeat_rejected_requests(fleet: Fleet) -> None:
-    """Clients connect before any instance is ready, and repeat rejected requests at once."""
+async def resend_rejected_requests(fleet: Fleet) -> None:
+    """Clients connect before any instance is ready, and resend rejected requests at once."""
     await start_before_registry(fleet, 4.0)
 
 
