--- a/applevale/fakes/faulty_proxy.py
+++ b/applevale/fakes/faulty_proxy.py
@@ -78,7 +78,7 @@
 
 
 class _AnswerStream(_FaultyStream):
-    """Corrupts the next chunk in the modes TRUNCATE and CORRUPT."""
+    """Truncates or corrupts the next chunk of an answer, in the modes TRUNCATE and CORRUPT."""
 
     def write_chunk(self, data: bytes) -> None:
         mode = self.proxy.mode
