--- a/applevale/fakes/engine.py
+++ b/applevale/fakes/engine.py
@@ -54,7 +54,7 @@
 
     Attributes:
         arrivals: The attempts received, in order of arrival.
-        connects: The connections accepted, in order of arrival.
+        accepted_connections: The connections accepted, in order of arrival.
         running: The request ids of the attempts being executed.
     """
 
@@ -78,7 +78,7 @@
         self.clock = clock
         self.reported_work_ms = reported_work_ms
         self.arrivals: list[AttemptArrival] = []
-        self.connects: list[ConnectionArrival] = []
+        self.accepted_connections: list[ConnectionArrival] = []
         self.running: set[bytes] = set()
         self.tasks: set[asyncio.Task] = set()
         self.writers: set[asyncio.StreamWriter] = set()
@@ -107,7 +107,7 @@
         executions: dict[bytes, asyncio.Task] = {}
         self.writers.add(writer)
         caller = (writer.get_extra_info("peername") or ("",))[0]
-        self.connects.append(ConnectionArrival(self.clock(), caller))
+        self.accepted_connections.append(ConnectionArrival(self.clock(), caller))
         try:
             while data := await reader.read(READ_SIZE_BYTES):
                 parser.feed(data)
--- a/applevale/harness/history_recorder.py
+++ b/applevale/harness/history_recorder.py
@@ -165,7 +165,7 @@
             "who": caller_name(connection.caller),
             "engine": address,
         }
-        for connection in engine.connects
+        for connection in engine.accepted_connections
     ]
     events += [
         {
