--- a/applevale/fakes/client_pool.py
+++ b/applevale/fakes/client_pool.py
@@ -114,7 +114,7 @@
     the platform.
 
     Attributes:
-        sent: All requests, in the order in which they were written.
+        sent_requests: All requests, in the order in which they were written.
         lost_connections: Number of connections that the program closed.
     """
 
@@ -131,7 +131,7 @@
         self.profile = profile
         self.resend_limit = MAX_RESENDS if profile.resend_rejected else 0
         self.resend_count = 0
-        self.sent: list[SentRequest] = []
+        self.sent_requests: list[SentRequest] = []
         self.lost_connections = 0
         self.connections: list[ClientConnection] = []
         self.readers: list[asyncio.Task] = []
@@ -173,7 +173,7 @@
         request = SentRequest(request_id, method, key, now, now + self.profile.timeout, number == 1)
         parameters = [self._request_fields(request_id, key), self._random_statement(key)]
         connection.requests[number] = request
-        self.sent.append(request)
+        self.sent_requests.append(request)
         connection.writer.write(msgpack.packb([0, number, method, parameters]))
         return request
 
@@ -235,7 +235,7 @@
         loop = asyncio.get_running_loop()
         while any(
             not request.answers and loop.time() < request.deadline + ANSWER_GRACE_SECONDS
-            for request in self.sent
+            for request in self.sent_requests
         ):
             await asyncio.sleep(SETTLE_POLL_SECONDS)
 
@@ -254,9 +254,11 @@
             The number of answers by name, and the following numbers of requests: `requests` (all), `lost` (no
             answer in time), `cut` (connection closed before the answer), `twice` (more than one answer).
         """
-        counts = Counter(answer for request in self.sent for answer in request.answers)
-        counts["requests"] = len(self.sent)
-        counts["lost"] = sum(not request.answers or ANSWER_LATE in request.answers for request in self.sent)
-        counts["cut"] = sum(request.disconnected_at > 0 for request in self.sent)
-        counts["twice"] = sum(len(request.answers) > 1 for request in self.sent)
+        counts = Counter(answer for request in self.sent_requests for answer in request.answers)
+        counts["requests"] = len(self.sent_requests)
+        counts["lost"] = sum(
+            not request.answers or ANSWER_LATE in request.answers for request in self.sent_requests
+        )
+        counts["cut"] = sum(request.disconnected_at > 0 for request in self.sent_requests)
+        counts["twice"] = sum(len(request.answers) > 1 for request in self.sent_requests)
         return counts
--- a/applevale/harness/fleet_clients.py
+++ b/applevale/harness/fleet_clients.py
@@ -85,7 +85,7 @@
         for instance in self.instances:
             if instance.clients is None:
                 continue
-            sent_requests = instance.clients.sent
+            sent_requests = instance.clients.sent_requests
             for sent in sent_requests:
                 self._classify(instance, sent, violations)
             overlap = (min(instance.ended_at), inf) if instance.ended_at else NO_OVERLAP
--- a/applevale/harness/ops/evaluation.py
+++ b/applevale/harness/ops/evaluation.py
@@ -131,7 +131,9 @@
         )
         self.attempts_after_enable = sum(arrival.received_at > self.enabled_at for arrival in arrivals)
         executed = {arrival.request_id.decode() for engine in engines for arrival in engine.arrivals}
-        self.cut_after_execution = cut_requests(sent for sent in clients.sent if sent.request_id in executed)
+        self.cut_after_execution = cut_requests(
+            sent for sent in clients.sent_requests if sent.request_id in executed
+        )
         overlap = (self.overlap_start, self.overlap_end)
         self.violations = count_violations(clients, engines, overlap)
         self.client_figures = clients.stats()
--- a/applevale/harness/ops/script.py
+++ b/applevale/harness/ops/script.py
@@ -85,7 +85,7 @@
 
     async def _compare_metrics(self) -> None:
         _, metrics = await call_admin_api(self.environment.first_admin, "GET", "/metrics")
-        self.observed.clients_served = served_lookups(self.environment.clients.sent)
+        self.observed.clients_served = served_lookups(self.environment.clients.sent_requests)
         self.observed.metrics_served = metrics.get("replies", {}).get("lookup", {}).get("success", -1)
 
     async def _upgrade(self) -> None:
@@ -99,12 +99,12 @@
         status = await _disable(environment.second_admin, _engine_id(LATE_EJECTED))
         observed.late_ejection_confirmed = status == HTTPStatus.OK
         observed.late_ejected_from = self._engine_time(LATE_EJECTED) + EJECTION_GRACE_SECONDS
-        cut_before = cut_requests(environment.clients.sent)
+        cut_before = cut_requests(environment.clients.sent_requests)
         observed.first_counters = await environment.first_process.stop()
         observed.overlap_end = self.loop.time()
         observed.first_exit_code = environment.first_process.process.returncode
         await asyncio.sleep(self.phase_seconds)
-        observed.cut_in_upgrade = cut_requests(environment.clients.sent) - cut_before
+        observed.cut_in_upgrade = cut_requests(environment.clients.sent_requests) - cut_before
 
     async def _enable_engines(self) -> None:
         """Enable both engines; each may receive work as soon as its own call is made."""
--- a/applevale/harness/registry/evaluation.py
+++ b/applevale/harness/registry/evaluation.py
@@ -114,7 +114,7 @@
         "missed_drains": sum(lag > MAX_DRAIN_LAG_SECONDS for lag in lags),
         "wrong_lists": totals["wrong_lists"],
         **{name: violations[name] for name in REQUEST_ZERO_FIGURES},
-        "requests": sum(len(environment.clients.sent) for environment in environments),
+        "requests": sum(len(environment.clients.sent_requests) for environment in environments),
         "served": totals["answered_served"],
         "held": totals["unconfirmed"],
         "failures": totals["failures"],
--- a/applevale/harness/request_rules.py
+++ b/applevale/harness/request_rules.py
@@ -52,7 +52,7 @@
     """Return how many loads reached an engine before an earlier one of the same order key."""
     overlap_start, overlap_end = overlap
     arrivals_by_key: dict[tuple[int, bool], list[float]] = defaultdict(list)
-    for sent in clients.sent:
+    for sent in clients.sent_requests:
         if sent.key and sent.request_id in loads and not overlap_start <= sent.sent_at <= overlap_end:
             arrivals_by_key[sent.key, sent.sent_at > overlap_end].append(loads[sent.request_id][0])
     return sum(later < former for times in arrivals_by_key.values() for former, later in pairwise(times))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -498,7 +498,7 @@
             await environment.clients.settle()
             await environment.reach_quiet_point()
             async with asyncio.timeout(TIMEOUT_SECONDS):
-                while environment.clients.sent[-1].answers != ["served"]:
+                while environment.clients.sent_requests[-1].answers != ["served"]:
                     environment.clients.send("lookup")
                     await environment.clients.settle()
         finally:
--- a/tests/test_rig_ops.py
+++ b/tests/test_rig_ops.py
@@ -138,7 +138,7 @@
     """Clients that sent these requests, each an id and a time, with one order key."""
 
     def __init__(self, *sent):
-        self.sent = [
+        self.sent_requests = [
             SentRequest(request_id, "load", 7, at, at + 3.0, False, ["served"]) for request_id, at in sent
         ]
 
