--- a/examples/toy_engine.py
+++ b/examples/toy_engine.py
@@ -54,7 +54,7 @@
             while data := self.request.recv(READ_SIZE_BYTES):
                 reader.feed(data)
                 while (command := reader.gets()) is not False:
-                    self.server.seen.append(command)
+                    self.server.received_commands.append(command)
                     if not self.handle_command(*command):
                         return
         except ConnectionError:
@@ -97,7 +97,7 @@
     """A server that answers with made-up results.
 
     Attributes:
-        seen: All commands received, in order of arrival.
+        received_commands: All commands, in order of arrival.
     """
 
     allow_reuse_address = True
@@ -106,7 +106,7 @@
     def __init__(self, address: tuple[str, int], handler: type[Handler] = Handler):
         """Listen at an address; each connection is served by a `handler`."""
         super().__init__(address, handler)
-        self.seen: list[list[bytes]] = []
+        self.received_commands: list[list[bytes]] = []
 
 
 if __name__ == "__main__":
--- a/tests/process.py
+++ b/tests/process.py
@@ -195,11 +195,11 @@
 
     def engine_commands(self, request_id: str) -> list[bytes]:
         """Return the names of the commands that the engine received for a request, in order."""
-        return [command[0] for command in self.engine.seen if command[1] == request_id.encode()]
+        return [command[0] for command in self.engine.received_commands if command[1] == request_id.encode()]
 
     def executed_request_ids(self) -> list[bytes]:
         """Return the request ids of all execute commands that the engine received, in order."""
-        return [command[1] for command in self.engine.seen if command[0] == EXECUTE]
+        return [command[1] for command in self.engine.received_commands if command[0] == EXECUTE]
 
     def stop(self) -> dict[str, float]:
         """Stop the process and the engine; return the counters that the process logged last."""
--- a/tests/test_corrupt_replies.py
+++ b/tests/test_corrupt_replies.py
@@ -70,7 +70,7 @@
         if fault not in FAULTY_REPLIES:
             # The faulty replies include all pages, so commands that fetch pages get no reply.
             return name == CMD_FETCH_PAGE or super().handle_command(name, tag, *arguments)
-        executed_tags = [command[1] for command in self.server.seen if command[0] == EXECUTE]
+        executed_tags = [command[1] for command in self.server.received_commands if command[0] == EXECUTE]
         is_repeated = executed_tags.count(tag) > 1
         self.request.sendall(result_reply(tag) if is_repeated else FAULTY_REPLIES[fault](tag))
         return True
--- a/tests/test_foreign.py
+++ b/tests/test_foreign.py
@@ -72,7 +72,7 @@
     statement = "select * from a_1.x limit 2"
     client.send_request(next(numbers), "post", request_id_with_key, statement, allow="900", replay="b2ec")
     assert client.read_response().error is None
-    commands = {command[1]: command for command in instance.engine.seen if command[0] == EXECUTE}
+    commands = {command[1]: command for command in instance.engine.received_commands if command[0] == EXECUTE}
     options_with_key = commands[request_id_with_key.encode()][2]
     options_without_key = commands[b"%016x" % 2][2]
     assert options_with_key.endswith(b",dedupe=b2ec")  # the idempotency key of the client
@@ -200,7 +200,7 @@
             for number in range(first_number, first_number + 4):
                 client.send_request(number, "lookup", f"{number:016x}", "select * from air_1.x limit 1")
             assert [response.error for response in client.read_responses(4)] == [None] * 4
-        assert instance.engine.seen
+        assert instance.engine.received_commands
     for connection in admin_connections:
         connection.close()
     admin_port.close()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -99,7 +99,9 @@
     assert first_client.read_response().error == FAILED
     assert second_response.error is None
     ids = (first_id.encode(), second_id.encode())
-    commands = [(command[0], command[1]) for command in instance.engine.seen if command[1] in ids]
+    commands = [
+        (command[0], command[1]) for command in instance.engine.received_commands if command[1] in ids
+    ]
     assert commands == [(EXECUTE, ids[0]), (CANCEL, ids[0]), (EXECUTE, ids[1])]
 
 
