--- a/applevale/fakes/registry_host.py
+++ b/applevale/fakes/registry_host.py
@@ -1,7 +1,7 @@
 """A fake registry in a process of its own, for harnesses with many processes.
 
 Run it with `python -m applevale.fakes.registry_host`. Three etcd members serve one store and share one
-capacity. The process reads orders as JSON lines from standard input and writes events as JSON lines to
+capacity. The process reads commands as JSON lines from standard input and writes events as JSON lines to
 standard output: sessions at once, commits and reads every tenth of a second. Times are in seconds of the
 monotonic clock, which all processes of a machine share. The process exits at the end of its input.
 """
@@ -25,7 +25,7 @@
 
 MEMBER_COUNT = 3
 REPORT_INTERVAL_SECONDS = 0.1
-MAX_ORDER_BYTES = 1 << 22
+MAX_COMMAND_BYTES = 1 << 22
 TIME_DECIMALS = 5
 # Thresholds that make full collections rare: one pauses this process for longer than a member ever pauses.
 GC_THRESHOLDS = (100_000, 50, 1_000_000)
@@ -37,10 +37,10 @@
 
 
 class RegistryHost:
-    """The members, their store and the handlers of orders.
+    """The members, their store and the handlers of commands.
 
     Attributes:
-        backup: The state that the order `keep` saved and the order `restore` loads.
+        backup: The state that the command `keep` saved and the command `restore` loads.
         reported_commits: Number of commits that have been written out.
         unreported_reads: Reads that have not been written out, each as a list of begin, end, caller, index of
             the member, whether it is full and whether it was answered.
@@ -56,7 +56,7 @@
         self.reported_commits = 0
         self.unreported_reads: list[list] = []
         self.reserved_ports: dict[tuple[str, int], socket.socket] = {}
-        self.orders: dict[str, Callable[[dict], Awaitable[None]]] = {
+        self.handlers: dict[str, Callable[[dict], Awaitable[None]]] = {
             "put": self._put,
             "delete": self._delete,
             "capacity": self._set_capacity,
@@ -114,18 +114,18 @@
             await asyncio.sleep(REPORT_INTERVAL_SECONDS)
             self.report()
 
-    async def execute(self, order: str, **values: object) -> None:
-        """Execute one order and write the event `done`, preceded by `unknown` if there is no such order."""
-        handler = self.orders.get(order)
+    async def execute(self, command: str, values: dict) -> None:
+        """Execute one command and write the event `done`, preceded by `unknown` if it does not exist."""
+        handler = self.handlers.get(command)
         if handler is None:
-            write_event("unknown", order=order)
+            write_event("unknown", order=command)
         else:
             await handler(values)
         self.report()
-        write_event("done", order=order)
+        write_event("done", order=command)
 
     def _selected_members(self, values: dict) -> Iterable[etcd.Member]:
-        """Return the member that an order names, or all members if it names none."""
+        """Return the member that a command names, or all members if it names none."""
         return [self.members[int(values["member"])]] if "member" in values else self.members
 
     async def _put(self, values: dict) -> None:
@@ -169,7 +169,7 @@
             member.abort_connections()
 
     async def _do_nothing(self, _values: dict) -> None:
-        """Do nothing; the event `done` shows that all earlier orders have been executed."""
+        """Do nothing; the event `done` shows that all earlier commands have been executed."""
 
     def _reserve_port(self, address: tuple[str, int]) -> None:
         """Bind the port of a stopped member, so that no other server on it is taken for the member."""
@@ -182,21 +182,22 @@
 
 async def open_standard_input() -> asyncio.StreamReader:
     """Return a stream reader on standard input."""
-    reader = asyncio.StreamReader(limit=MAX_ORDER_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     return reader
 
 
 async def run() -> None:
-    """Start the members and execute orders until standard input ends."""
+    """Start the members and execute commands until standard input ends."""
     host = RegistryHost()
     gc.set_threshold(*GC_THRESHOLDS)
     await host.start()
     report_task = asyncio.create_task(host.report_regularly())
     reader = await open_standard_input()
     while line := await reader.readline():
-        await host.execute(**json.loads(line))
+        values = json.loads(line)
+        await host.execute(values.pop("order"), values)
     report_task.cancel()
     host.report()
 
--- a/applevale/harness/fault_executor.py
+++ b/applevale/harness/fault_executor.py
@@ -120,7 +120,7 @@
             self.open_outages += 1 if step.order == "down" else -1
             if outages_before and self.open_outages:
                 return
-        await self.targets.registry.order(step.order, **step.values)
+        await self.targets.registry.send_command(step.order, **step.values)
 
     async def _kill(self, instance: FleetInstance, restart_after: float | None) -> None:
         async with instance.lifecycle_lock:
--- a/applevale/harness/fleet.py
+++ b/applevale/harness/fleet.py
@@ -98,7 +98,7 @@
     async def start(self) -> None:
         """Start the registry, engines and proxies, and create the instances without starting them."""
         await self.registry.start()
-        await self.registry.order("capacity", rate=self.plan.registry_reads_per_second)
+        await self.registry.send_command("capacity", rate=self.plan.registry_reads_per_second)
         registry_addresses = [
             await self.links.expose(f"list{number}", address)
             for number, address in enumerate(self.registry.addresses)
--- a/applevale/harness/fleet_engines.py
+++ b/applevale/harness/fleet_engines.py
@@ -77,9 +77,9 @@
         key = f"{ENGINE_KEY_PREFIX}{number}"
         self.states[number] = state
         if state is EngineState.GONE:
-            await self.registry.order("delete", key=key)
+            await self.registry.send_command("delete", key=key)
             return
-        await self.registry.order("put", key=key, value=json.dumps(self._record(number, state)))
+        await self.registry.send_command("put", key=key, value=json.dumps(self._record(number, state)))
 
     def _record(self, number: int, state: EngineState) -> dict:
         started = 0.0
--- a/applevale/harness/registry_process.py
+++ b/applevale/harness/registry_process.py
@@ -7,13 +7,13 @@
 import sys
 from collections.abc import Callable
 
-ORDER_TIMEOUT_SECONDS = 30.0
+COMMAND_TIMEOUT_SECONDS = 30.0
 STOP_TIMEOUT_SECONDS = 5.0
 MAX_EVENT_BYTES = 1 << 24  # longest line that the process may write
 
 
 class RegistryProcess:
-    """The process of the fake registry, which takes orders and reports events.
+    """The process of the fake registry, which executes commands and reports events.
 
     Attributes:
         addresses: The addresses of its members, once it has started.
@@ -49,18 +49,18 @@
             else:
                 self.on_event(event)
 
-    async def order(self, order: str, **values: object) -> None:
-        """Send an order and return once it has been executed.
+    async def send_command(self, command: str, **values: object) -> None:
+        """Send a command and return once it has been executed.
 
         Args:
-            order: The name of the order.
-            values: The parameters of the order.
+            command: The name of the command.
+            values: The parameters of the command.
 
         Raises:
-            TimeoutError: It was not executed within `ORDER_TIMEOUT_SECONDS`.
+            TimeoutError: It was not executed within `COMMAND_TIMEOUT_SECONDS`.
         """
-        self.process.stdin.write(json.dumps({"order": order, **values}).encode() + b"\n")
-        async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
+        self.process.stdin.write(json.dumps({"order": command, **values}).encode() + b"\n")
+        async with asyncio.timeout(COMMAND_TIMEOUT_SECONDS):
             await self.replies.get()
 
     async def stop(self) -> None:
--- a/applevale/harness/scenarios/registry_scenarios.py
+++ b/applevale/harness/scenarios/registry_scenarios.py
@@ -48,11 +48,11 @@
 
     It serves 50 reads per second, or 1.25 per instance if that is less, and rejects all others.
     """
-    await fleet.registry.order("capacity", rate=min(50.0, 1.25 * fleet.plan.instance_count), most=0.1)
+    await fleet.registry.send_command("capacity", rate=min(50.0, 1.25 * fleet.plan.instance_count), most=0.1)
     await fleet.launch_all()
     await asyncio.sleep(25.0)
     await fleet.engines.drain(2)
-    await fleet.registry.order("capacity", rate=fleet.plan.registry_reads_per_second)
+    await fleet.registry.send_command("capacity", rate=fleet.plan.registry_reads_per_second)
     await fleet.wait_until_ready(READY_TIMEOUT_SECONDS)
     await asyncio.sleep(GUARANTEE_RECOVERY_SECONDS)
     await measure_at_rest(fleet)
@@ -67,13 +67,13 @@
         """All responses of the registry are delayed for a while; meanwhile engines are drained."""
         await start_and_wait_until_ready(fleet)
         await measure_at_rest(fleet)
-        await fleet.registry.order("late", seconds=seconds)
+        await fleet.registry.send_command("late", seconds=seconds)
         fleet.mark("slow")
         await asyncio.sleep(3.0)
         await fleet.engines.drain(2)
         await asyncio.sleep(5.0)
         fleet.mark("slow_end")
-        await fleet.registry.order("late", seconds=0.0)
+        await fleet.registry.send_command("late", seconds=0.0)
         await asyncio.sleep(12.0)
         await fleet.engines.drain(1)
         await fleet.wait_for_convergence()
@@ -86,7 +86,7 @@
     await start_and_wait_until_ready(fleet)
     await measure_at_rest(fleet)
     fleet.mark("slow")
-    await fleet.registry.order("late", seconds=0.3, member=0)
+    await fleet.registry.send_command("late", seconds=0.3, member=0)
     await asyncio.sleep(5.0)
     fleet.mark("slow_end")
     await fleet.engines.drain(2)
@@ -96,13 +96,13 @@
 async def restore_registry(fleet: Fleet) -> None:
     """The registry is restored from a backup that lacks the latest changes."""
     await start_and_wait_until_ready(fleet)
-    await fleet.registry.order("keep")
+    await fleet.registry.send_command("keep")
     backed_up_states = dict(fleet.engines.states)
     await fleet.engines.drain(1)
     await fleet.engines.set_state(0, EngineState.GONE)
     await measure_at_rest(fleet)
     fleet.mark("break")
-    await fleet.registry.order("restore")
+    await fleet.registry.send_command("restore")
     fleet.engines.states = backed_up_states
     fleet.mark("break_end")
     await asyncio.sleep(SESSIONS_AFTER_BREAK_SECONDS)
--- a/applevale/harness/scenarios/steps.py
+++ b/applevale/harness/scenarios/steps.py
@@ -40,21 +40,21 @@
         recovery_seconds: Seconds to wait afterwards.
     """
     fleet.mark("break")
-    await fleet.registry.order("down")
+    await fleet.registry.send_command("down")
     await asyncio.sleep(duration)
-    await fleet.registry.order("up")
+    await fleet.registry.send_command("up")
     fleet.mark("break_end")
     await asyncio.sleep(recovery_seconds)
 
 
 async def start_before_registry(fleet: Fleet, delay: float) -> None:
     """Start all instances, bring the registry up `delay` seconds later, and drain some engines."""
-    await fleet.registry.order("down")
+    await fleet.registry.send_command("down")
     await fleet.launch_all()
     await fleet.wait_until(fleet.are_all_listening, READY_TIMEOUT_SECONDS)
     await asyncio.sleep(delay)
     fleet.mark("break_end")
-    await fleet.registry.order("up")
+    await fleet.registry.send_command("up")
     await fleet.wait_until_ready(READY_TIMEOUT_SECONDS)
     await measure_at_rest(fleet)
     await fleet.engines.drain(2)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -60,13 +60,13 @@
         fleet.mark("rest_end")
         await fleet.engines.drain(1)
         fleet.mark("break")
-        await fleet.registry.order("down")
+        await fleet.registry.send_command("down")
         assert not fleet.open_sessions()
         # By then no list may count as confirmed any more, however slow the machine is.
         await asyncio.sleep(FRESHNESS_SECONDS + TIMER_MARGIN_SECONDS)
         await fleet.wait_for_due_timers()
         assert not any(instance.is_confirmed for instance in fleet.instances)
-        await fleet.registry.order("up")
+        await fleet.registry.send_command("up")
         fleet.mark("break_end")
         assert await fleet.wait_until_ready(20)
         await fleet.play(
@@ -109,19 +109,19 @@
     await start_and_wait_until_ready(fleet)
     await asyncio.sleep(3.0)  # until the instances have measured enough fast responses
     fleet.mark("slow")
-    await fleet.registry.order("late", seconds=0.25)
+    await fleet.registry.send_command("late", seconds=0.25)
     await asyncio.sleep(6.0)
     fleet.mark("slow_end")
-    await fleet.registry.order("late", seconds=0.0)
+    await fleet.registry.send_command("late", seconds=0.0)
 
 
 async def late_registry(fleet):
     """The instances listen before the registry serves at all."""
-    await fleet.registry.order("down")
+    await fleet.registry.send_command("down")
     await fleet.launch_all()
     assert await fleet.wait_until(fleet.are_all_listening, 30)
     await asyncio.sleep(0.5)
-    await fleet.registry.order("up")
+    await fleet.registry.send_command("up")
     assert await fleet.wait_until_ready(20)
 
 
