--- a/applevale/fault_injection/schedule.py
+++ b/applevale/fault_injection/schedule.py
@@ -80,10 +80,13 @@
     overlap: Seconds
 
 
-class OrderRegistry(_Step, tag="service"):
-    """Send an order to the fake registry; `applevale.fakes.registry_host` defines orders and their values."""
+class SendRegistryCommand(_Step, tag="service", rename={"command": "order"}):
+    """Send a command to the fake registry, with the values that it requires.
 
-    order: str
+    `applevale.fakes.registry_host` defines the commands and their values.
+    """
+
+    command: str
     values: dict[str, float | str] = {}
 
 
@@ -94,7 +97,7 @@
     | PauseRepeatedly
     | TerminateProcess
     | UpgradeProcess
-    | OrderRegistry
+    | SendRegistryCommand
 )
 
 
@@ -177,12 +180,12 @@
             return _draw_link_steps(SLOW_LINK, at, processes, duration, random)
         case "down":
             return [
-                OrderRegistry(at=at, order="down"),
-                OrderRegistry(at=round(at + duration, 2), order="up"),
+                SendRegistryCommand(at=at, command="down"),
+                SendRegistryCommand(at=round(at + duration, 2), command="up"),
             ]
     return [
-        OrderRegistry(at=at, order="late", values={"seconds": duration}),
-        OrderRegistry(at=round(at + SLOW_REGISTRY_SECONDS, 2), order="late", values={"seconds": 0.0}),
+        SendRegistryCommand(at=at, command="late", values={"seconds": duration}),
+        SendRegistryCommand(at=round(at + SLOW_REGISTRY_SECONDS, 2), command="late", values={"seconds": 0.0}),
     ]
 
 
--- a/applevale/harness/fault_executor.py
+++ b/applevale/harness/fault_executor.py
@@ -87,8 +87,8 @@
                 await self._for_each(step.processes, lambda instance: self._pause_repeatedly(instance, step))
             case schedule.UpgradeProcess():
                 await self._for_each(step.processes, lambda instance: self._upgrade(instance, step.overlap))
-            case schedule.OrderRegistry():
-                await self._order_registry(step)
+            case schedule.SendRegistryCommand():
+                await self._send_registry_command(step)
 
     async def _for_each(
         self, patterns: list[str], action: Callable[[FleetInstance], Awaitable[None]]
@@ -110,17 +110,17 @@
         for proxy in self.targets.proxies:
             proxy.on_conditions_changed()
 
-    async def _order_registry(self, step: schedule.OrderRegistry) -> None:
-        """Send an order to the registry.
+    async def _send_registry_command(self, step: schedule.SendRegistryCommand) -> None:
+        """Send a command to the registry.
 
         Outages may overlap: the registry goes down with the first and comes up when the last one ends.
         """
-        if step.order in ("down", "up"):
+        if step.command in ("down", "up"):
             outages_before = self.open_outages
-            self.open_outages += 1 if step.order == "down" else -1
+            self.open_outages += 1 if step.command == "down" else -1
             if outages_before and self.open_outages:
                 return
-        await self.targets.registry.send_command(step.order, **step.values)
+        await self.targets.registry.send_command(step.command, **step.values)
 
     async def _kill(self, instance: FleetInstance, restart_after: float | None) -> None:
         async with instance.lifecycle_lock:
--- a/applevale/simulation/fault_player.py
+++ b/applevale/simulation/fault_player.py
@@ -12,7 +12,7 @@
 class FaultPlayer:
     """Executes the steps of a fault schedule, and records the events of the run.
 
-    Steps that send orders to a registry or upgrade a process are not supported.
+    Steps that send commands to a registry or upgrade a process are not supported.
 
     Attributes:
         simulation: The simulation in which the faults take place.
@@ -73,7 +73,7 @@
                     self.simulation.pause(number, step.duration)
             case schedule.PauseRepeatedly():
                 self._pause_repeatedly(step)
-            case schedule.OrderRegistry() | schedule.UpgradeProcess():
+            case schedule.SendRegistryCommand() | schedule.UpgradeProcess():
                 raise ValueError(f"step {fields['do']!r}: the simulation does not support it")
 
     def _apply_link_condition(self, step: schedule.ApplyLinkCondition) -> None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -62,8 +62,8 @@
             == schedule.read_schedule(schedule.write_schedule(steps))
         )
         assert 12 <= len(steps) <= 24 and steps != schedule.draw_schedule(seed + 1, 12)
-        orders = [step.order for step in steps if isinstance(step, schedule.OrderRegistry)]
-        assert orders.count("down") == orders.count("up")
+        commands = [step.command for step in steps if isinstance(step, schedule.SendRegistryCommand)]
+        assert commands.count("down") == commands.count("up")
     kinds_by_seed = [{type(step) for step in schedule.draw_schedule(seed, 12)} for seed in range(30)]
     assert set.union(*kinds_by_seed) == {
         schedule.KillProcess,
@@ -71,7 +71,7 @@
         schedule.PauseProcess,
         schedule.PauseRepeatedly,
         schedule.ApplyLinkCondition,
-        schedule.OrderRegistry,
+        schedule.SendRegistryCommand,
     }
     assert sum(len(kinds) < 6 for kinds in kinds_by_seed) > 20
 
@@ -113,7 +113,7 @@
     async def run():
         executor = RecordingExecutor()
         logged = []
-        steps = [schedule.OrderRegistry(at=at, order="sync") for at in (0, 0.01, 0.02)]
+        steps = [schedule.SendRegistryCommand(at=at, command="sync") for at in (0, 0.01, 0.02)]
         await schedule.play_schedule(
             steps, executor, lambda at, step: logged.append(step.at), asyncio.get_running_loop().time
         )
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -110,7 +110,7 @@
         faults.PauseRepeatedly(at=3.0, processes=["n5"], duration=0.1, interval=0.4, count=5),
         faults.TerminateProcess(at=4.0, processes=["n6"], restart_after=0.1),
         faults.UpgradeProcess(at=5.0, processes=["n7"], overlap=1.0),
-        faults.OrderRegistry(at=6.0, order="late", values={"seconds": 0.3, "who": "n1"}),
+        faults.SendRegistryCommand(at=6.0, command="late", values={"seconds": 0.3, "who": "n1"}),
     ]
 
 
