--- a/applevale/checkers/coldstart.py
+++ b/applevale/checkers/coldstart.py
@@ -6,13 +6,13 @@
 from math import inf
 
 from .drains import MAX_DRAIN_LAG_SECONDS, Drain, ListingChange, find_drains
-from .history import DISTANT_PAST, History, max_in_window, quantile
+from .history import DISTANT_PAST, History, max_count_in_window, quantile
 
 SESSIONS_AFTER_BREAK_SECONDS = 8.0  # period after an outage in which new sessions are counted
 MIN_OVERLAP_SECONDS = 0.001  # shorter overlaps of two reads are ignored
 
 # Figures on requests that must be 0 in each run.
-REQUEST_RULES = ("lost_requests", "answered_twice", "loads_twice", "order_breaks")
+REQUEST_ZERO_FIGURES = ("lost_requests", "answered_twice", "loads_twice", "order_breaks")
 # All figures that must be 0 in each run, whatever the scenario.
 ZERO_FIGURES = (
     "ready_early",
@@ -20,11 +20,11 @@
     "engines_fallen",
     "missed_drains",
     "wrong_lists",
-    *REQUEST_RULES,
+    *REQUEST_ZERO_FIGURES,
 )
 
 
-def drains(history: History) -> list[Drain]:
+def find_history_drains(history: History) -> list[Drain]:
     """Return all drains and deletions of engines, in the order of their ends."""
     arrivals = defaultdict(list)
     for event in history.select("arrival"):
@@ -131,7 +131,7 @@
     return max_open_count
 
 
-def figures(history: History, nodes: int) -> dict:
+def compute_figures(history: History) -> dict:
     """Return the figures of a run, under the names that the harness prints them with."""
     return _start_figures(history) | _drain_figures(history) | _outage_figures(history)
 
@@ -157,11 +157,11 @@
         "full_reads_most": max(full, default=0),
         "reads_until_rest": sum(at < rest_at for at in read_times),
         "sessions": sum(1 for _ in history.select("session", until=rest_at)),
-        "list_reads_s_max": max_in_window(read_times, 1.0),
+        "list_reads_s_max": max_count_in_window(read_times, 1.0),
         "list_connections_max": max_open_sessions(history),
         "questions_on_top": count_overlapping_reads(history),
         "connects_per_engine_s_max": max(
-            (max_in_window(times, 1.0) for times in connects.values()), default=0
+            (max_count_in_window(times, 1.0) for times in connects.values()), default=0
         ),
         "engines_fallen": sum(1 for _ in history.select("fell")),
     }
@@ -182,7 +182,7 @@
 
 
 def _drain_figures(history: History) -> dict:
-    lags = [drain.lag for drain in drains(history)]
+    lags = [drain.lag for drain in find_history_drains(history)]
     return {
         "drains": len(lags),
         "drain_lag_ms": {
@@ -218,12 +218,12 @@
     return measured
 
 
-def violated_limits(run_figures: dict, nodes: int, limits: dict[str, float]) -> list[str]:
+def violated_limits(run_figures: dict, instance_count: int, limits: dict[str, float]) -> list[str]:
     """Describe the limits that a run exceeded.
 
     Args:
-        run_figures: The result of `figures`.
-        nodes: Number of instances that must be ready.
+        run_figures: The result of `compute_figures`.
+        instance_count: Number of instances that must be ready.
         limits: Maximum value of each figure, in addition to `ZERO_FIGURES`.
 
     Returns:
@@ -235,6 +235,6 @@
             missed.append(f"{name}: not measured")
         elif run_figures[name] > limit:
             missed.append(f"{name}: {run_figures[name]}, over {limit:g}")
-    if run_figures["ready"] < nodes:
-        missed.append(f"ready: {run_figures['ready']} of {nodes}")
+    if run_figures["ready"] < instance_count:
+        missed.append(f"ready: {run_figures['ready']} of {instance_count}")
     return missed
--- a/applevale/fakes/client_pool.py
+++ b/applevale/fakes/client_pool.py
@@ -13,7 +13,7 @@
 
 KEY_INTERVAL_SECONDS = 0.06  # minimum interval between two loads with the same key
 NEW_CONNECTION_KEY_INTERVAL_SECONDS = 0.25  # the same after the first request on a connection
-MAX_REPEATS = 500  # per pool; immediate repeats of immediate rejections would otherwise never end
+MAX_RESENDS = 500  # per pool; resending after immediate rejections would otherwise never end
 RECONNECT_INTERVAL_SECONDS = 0.1
 ANSWER_GRACE_SECONDS = 0.3  # after a request's deadline; an answer that arrives later counts as lost
 SETTLE_POLL_SECONDS = 0.02
@@ -65,7 +65,7 @@
         key_count: Number of different order keys of the loads.
         reconnect: Whether a closed connection is opened again, as the clients of the platform do.
         effort_ms: Work that each request declares, in milliseconds.
-        repeat_rejected: Whether a rejected request without a key is sent again at once, even if the program
+        resend_rejected: Whether a rejected request without a key is sent again at once, even if the program
             advises a delay.
     """
 
@@ -76,7 +76,7 @@
     key_count: int = 5
     reconnect: bool = False
     effort_ms: float = 20.0
-    repeat_rejected: bool = False
+    resend_rejected: bool = False
 
 
 class ClientConnection:
@@ -114,7 +114,7 @@
     the platform.
 
     Attributes:
-        sent: All requests, in the order in which they were written.
+        sent_requests: All requests, in the order in which they were written.
         lost_connections: Number of connections that the program closed.
     """
 
@@ -129,9 +129,9 @@
         self.address = address
         self.random = random
         self.profile = profile
-        self.repeat_limit = MAX_REPEATS if profile.repeat_rejected else 0
-        self.repeat_count = 0
-        self.sent: list[SentRequest] = []
+        self.resend_limit = MAX_RESENDS if profile.resend_rejected else 0
+        self.resend_count = 0
+        self.sent_requests: list[SentRequest] = []
         self.lost_connections = 0
         self.connections: list[ClientConnection] = []
         self.readers: list[asyncio.Task] = []
@@ -173,7 +173,7 @@
         request = SentRequest(request_id, method, key, now, now + self.profile.timeout, number == 1)
         parameters = [self._request_fields(request_id, key), self._random_statement(key)]
         connection.requests[number] = request
-        self.sent.append(request)
+        self.sent_requests.append(request)
         connection.writer.write(msgpack.packb([0, number, method, parameters]))
         return request
 
@@ -226,8 +226,8 @@
     def _record_answer(self, request: SentRequest, answer: str) -> None:
         is_in_time = asyncio.get_running_loop().time() <= request.deadline + ANSWER_GRACE_SECONDS
         request.answers.append(answer if is_in_time else ANSWER_LATE)
-        if answer == ANSWER_REJECTED and not request.key and self.repeat_count < self.repeat_limit:
-            self.repeat_count += 1
+        if answer == ANSWER_REJECTED and not request.key and self.resend_count < self.resend_limit:
+            self.resend_count += 1
             self.send(request.method)
 
     async def settle(self) -> None:
@@ -235,7 +235,7 @@
         loop = asyncio.get_running_loop()
         while any(
             not request.answers and loop.time() < request.deadline + ANSWER_GRACE_SECONDS
-            for request in self.sent
+            for request in self.sent_requests
         ):
             await asyncio.sleep(SETTLE_POLL_SECONDS)
 
@@ -254,9 +254,11 @@
             The number of answers by name, and the following numbers of requests: `requests` (all), `lost` (no
             answer in time), `cut` (connection closed before the answer), `twice` (more than one answer).
         """
-        counts = Counter(answer for request in self.sent for answer in request.answers)
-        counts["requests"] = len(self.sent)
-        counts["lost"] = sum(not request.answers or ANSWER_LATE in request.answers for request in self.sent)
-        counts["cut"] = sum(request.disconnected_at > 0 for request in self.sent)
-        counts["twice"] = sum(len(request.answers) > 1 for request in self.sent)
+        counts = Counter(answer for request in self.sent_requests for answer in request.answers)
+        counts["requests"] = len(self.sent_requests)
+        counts["lost"] = sum(
+            not request.answers or ANSWER_LATE in request.answers for request in self.sent_requests
+        )
+        counts["cut"] = sum(request.disconnected_at > 0 for request in self.sent_requests)
+        counts["twice"] = sum(len(request.answers) > 1 for request in self.sent_requests)
         return counts
--- a/applevale/harness/fleet_clients.py
+++ b/applevale/harness/fleet_clients.py
@@ -50,7 +50,7 @@
             connection_count=1,
             reconnect=True,
             effort_ms=CLIENT_EFFORT_MS,
-            repeat_rejected=self.plan.repeat_rejected,
+            resend_rejected=self.plan.resend_rejected,
         )
         instance.clients = ClientPool(instance.program.address, Random(self.random.random()), profile)
         await instance.clients.start()
@@ -85,7 +85,7 @@
         for instance in self.instances:
             if instance.clients is None:
                 continue
-            sent_requests = instance.clients.sent
+            sent_requests = instance.clients.sent_requests
             for sent in sent_requests:
                 self._classify(instance, sent, violations)
             overlap = (min(instance.ended_at), inf) if instance.ended_at else NO_OVERLAP
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -62,8 +62,8 @@
             == schedule.read_schedule(schedule.write_schedule(steps))
         )
         assert 12 <= len(steps) <= 24 and steps != schedule.draw_schedule(seed + 1, 12)
-        orders = [step.order for step in steps if isinstance(step, schedule.OrderRegistry)]
-        assert orders.count("down") == orders.count("up")
+        commands = [step.command for step in steps if isinstance(step, schedule.SendRegistryCommand)]
+        assert commands.count("down") == commands.count("up")
     kinds_by_seed = [{type(step) for step in schedule.draw_schedule(seed, 12)} for seed in range(30)]
     assert set.union(*kinds_by_seed) == {
         schedule.KillProcess,
@@ -71,7 +71,7 @@
         schedule.PauseProcess,
         schedule.PauseRepeatedly,
         schedule.ApplyLinkCondition,
-        schedule.OrderRegistry,
+        schedule.SendRegistryCommand,
     }
     assert sum(len(kinds) < 6 for kinds in kinds_by_seed) > 20
 
@@ -102,7 +102,7 @@
 
 
 def test_steps_are_executed_at_their_times_and_logged():
-    class RecordingPlayer:
+    class RecordingExecutor:
         def __init__(self):
             self.ended = []
 
@@ -111,13 +111,13 @@
             self.ended.append(step.at)
 
     async def run():
-        player = RecordingPlayer()
+        executor = RecordingExecutor()
         logged = []
-        steps = [schedule.OrderRegistry(at=at, order="sync") for at in (0, 0.01, 0.02)]
+        steps = [schedule.SendRegistryCommand(at=at, command="sync") for at in (0, 0.01, 0.02)]
         await schedule.play_schedule(
-            steps, player, lambda at, step: logged.append(step.at), asyncio.get_running_loop().time
+            steps, executor, lambda at, step: logged.append(step.at), asyncio.get_running_loop().time
         )
-        assert logged == [0, 0.01, 0.02] and player.ended == [0.01, 0.02, 0]
+        assert logged == [0, 0.01, 0.02] and executor.ended == [0.01, 0.02, 0]
 
     asyncio.run(run())
 
@@ -214,12 +214,12 @@
 def test_a_faulty_proxy_corrupts_one_answer_and_forwards_the_next():
     async def script(proxy, connect):
         reader, writer = await connect()
-        proxy.set_mode(ProxyMode.GARBAGE)
+        proxy.set_mode(ProxyMode.CORRUPT)
         writer.write(b"12345678")
         assert await reader.readexactly(8) == Random(1).randbytes(8)
         writer.write(b"next")
         assert await reader.readexactly(4) == b"next"
-        proxy.set_mode(ProxyMode.HALF)
+        proxy.set_mode(ProxyMode.TRUNCATE)
         writer.write(b"12345678")
         assert await reader.read() == b"1234"
         assert proxy.mode is ProxyMode.PASS
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -143,7 +143,7 @@
     run_scenario(scenario, kind)
 
 
-@pytest.mark.parametrize("mode", [ProxyMode.HALF, ProxyMode.GARBAGE])
+@pytest.mark.parametrize("mode", [ProxyMode.TRUNCATE, ProxyMode.CORRUPT])
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_truncated_or_corrupt_response_ends_the_session_and_leaves_the_list(kind, mode):
     async def scenario(environment):
@@ -498,7 +498,7 @@
             await environment.clients.settle()
             await environment.reach_quiet_point()
             async with asyncio.timeout(TIMEOUT_SECONDS):
-                while environment.clients.sent[-1].answers != ["served"]:
+                while environment.clients.sent_requests[-1].answers != ["served"]:
                     environment.clients.send("lookup")
                     await environment.clients.settle()
         finally:
