--- a/applevale/estimators.py
+++ b/applevale/estimators.py
@@ -10,7 +10,7 @@
 
 from .containers import ExpiringKeys
 
-# Priors of EstimateCorrection; the counts are the numbers of observations that they weigh as much as.
+# Priors of EstimateCorrection; a count is the number of observations that a prior weighs as much as.
 EXCESS_PRIOR_COUNT = 2
 VARIANCE_PRIOR_COUNT = 3
 VARIANCE_PRIOR = 1.0
@@ -131,7 +131,7 @@
     """
 
     def __init__(self, mean: float, max_ratio: float):
-        """Create it with a prior mean; the ratio of needed to announced is bounded to `max_ratio`."""
+        """Create a correction with a prior mean; ratios of needed to announced are bounded to `max_ratio`."""
         self.max_ratio = max_ratio
         self.mean = RunningMean(mean)
         self.announced_log = RunningMean(0.0)
@@ -190,7 +190,7 @@
         return free_run_time * min(max(self.slowdown.value, 1.0), self.max_slowdown)
 
     def spread(self, deviations: float) -> float:
-        """Return the ratio to the expected run time of one that is so many mean deviations longer."""
+        """Return the ratio of a run time that is this many mean deviations too long to the expected one."""
         return exp(deviations * self.scatter.value)
 
     def learn(self, expected: float, free_run_time: float, run_time: float) -> float:
@@ -228,7 +228,7 @@
         self.sampled_at = -inf
 
     def add(self, now: float, level: float) -> None:
-        """Add the level since the last sample; its weight is that time, at most one time constant."""
+        """Add the level since the last sample, weighted by the time since then, at most one time constant."""
         self.levels.add(now, level, min(now - self.sampled_at, self.levels.time_constant))
         self.sampled_at = now
 
@@ -241,7 +241,7 @@
     """Compares the value per cost of an item with that of the mean item."""
 
     def __init__(self):
-        """Create it with a mean value and a mean cost of 1."""
+        """Create a comparison with a mean value and a mean cost of 1."""
         self.mean_value = RunningMean(1.0)
         self.mean_cost = RunningMean(1.0)
 
@@ -256,7 +256,7 @@
 
 
 class RememberingClassifier:
-    """Predicts an outcome by a logistic model, except for kinds of which it missed an outcome recently."""
+    """Predicts an outcome by a logistic model, except for kinds whose outcome it missed recently."""
 
     def __init__(self, model: LogisticModel, misses: ExpiringKeys, lifetime: float):
         """Create a classifier that remembers a missed outcome for `lifetime` seconds."""
--- a/applevale/harness/fleet_plan.py
+++ b/applevale/harness/fleet_plan.py
@@ -17,12 +17,12 @@
         engine_count: Number of fake engines.
         registry_reads_per_second: Reads per second that the fake registry can serve.
         requests_per_second: Client requests per second to each instance; 0 starts no clients.
-        repeat_rejected: Whether clients repeat a rejected request at once.
+        resend_rejected: Whether clients resend a rejected request at once.
         cold_engine_count: Number of engines that start cold, just before the instances.
         engine_connects_per_second: Limit on the connections per second to one engine, over the whole
             fleet; 0 sets no limit.
         store_snapshots: Whether instances store snapshots of the engine list.
-        schedule: Fault steps for the scenario `scheduled_faults`; empty: they are drawn from the seed.
+        fault_steps: Fault steps for the scenario `scheduled_faults`; empty: they are drawn from the seed.
         with_membership: Whether instances run the membership protocol; a UDP proxy forwards its datagrams.
         with_proxies: Whether instances reach engines and registry through TCP proxies, which apply faults.
         checkout: Folder of another checkout whose application is run, for a baseline.
@@ -35,11 +35,11 @@
     engine_count: int = 80
     registry_reads_per_second: float = 600.0
     requests_per_second: float = 2.0
-    repeat_rejected: bool = False
+    resend_rejected: bool = False
     cold_engine_count: int = 0
     engine_connects_per_second: float = 20.0
     store_snapshots: bool = False
-    schedule: tuple[Step, ...] = ()
+    fault_steps: tuple[Step, ...] = ()
     with_membership: bool = False
     with_proxies: bool = False
     checkout: str | None = None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 from applevale.api import EngineState
 from applevale.checkers import coldstart as coldstart_checker
-from applevale.checkers.history import History, max_in_window, read_history
+from applevale.checkers.history import History, max_count_in_window, read_history
 from applevale.discovery.registry.settings import RegistrySettings
 from applevale.fault_injection.link_conditions import LinkCondition
 from applevale.fault_injection.schedule import ApplyLinkCondition, KillProcess, PauseProcess
@@ -41,7 +41,7 @@
         ]
         assert all(process.returncode is not None for process in [*started, fleet.registry.process])
         history = fleet.history()
-        figures = coldstart_checker.figures(history, fleet.plan.instance_count)
+        figures = coldstart_checker.compute_figures(history)
         return figures | dict(fleet.figures) | fleet.violations(), history
 
     return asyncio.run(run())
@@ -60,13 +60,13 @@
         fleet.mark("rest_end")
         await fleet.engines.drain(1)
         fleet.mark("break")
-        await fleet.registry.order("down")
+        await fleet.registry.send_command("down")
         assert not fleet.open_sessions()
         # By then no list may count as confirmed any more, however slow the machine is.
         await asyncio.sleep(FRESHNESS_SECONDS + TIMER_MARGIN_SECONDS)
         await fleet.wait_for_due_timers()
         assert not any(instance.is_confirmed for instance in fleet.instances)
-        await fleet.registry.order("up")
+        await fleet.registry.send_command("up")
         fleet.mark("break_end")
         assert await fleet.wait_until_ready(20)
         await fleet.play(
@@ -86,7 +86,7 @@
     history.write(str(tmp_path / "h.jsonl"))
     stored = read_history(str(tmp_path / "h.jsonl"))
     assert stored.events == history.events
-    assert coldstart_checker.figures(stored, 6) == coldstart_checker.figures(history, 6)
+    assert coldstart_checker.compute_figures(stored) == coldstart_checker.compute_figures(history)
 
 
 def test_six_instances_together_do_not_overload_cold_engines():
@@ -109,19 +109,19 @@
     await start_and_wait_until_ready(fleet)
     await asyncio.sleep(3.0)  # until the instances have measured enough fast responses
     fleet.mark("slow")
-    await fleet.registry.order("late", seconds=0.25)
+    await fleet.registry.send_command("late", seconds=0.25)
     await asyncio.sleep(6.0)
     fleet.mark("slow_end")
-    await fleet.registry.order("late", seconds=0.0)
+    await fleet.registry.send_command("late", seconds=0.0)
 
 
 async def late_registry(fleet):
     """The instances listen before the registry serves at all."""
-    await fleet.registry.order("down")
+    await fleet.registry.send_command("down")
     await fleet.launch_all()
     assert await fleet.wait_until(fleet.are_all_listening, 30)
     await asyncio.sleep(0.5)
-    await fleet.registry.order("up")
+    await fleet.registry.send_command("up")
     assert await fleet.wait_until_ready(20)
 
 
@@ -209,10 +209,14 @@
         commit(5.0, "ready"),
         arrival(6.0),
     ]
-    assert coldstart_checker.drains(History(late)) == [coldstart_checker.Drain(2.0, 2.7, "10.0.0.1:1")]
-    assert coldstart_checker.figures(History(late), 1)["missed_drains"] == 1
+    assert coldstart_checker.find_history_drains(History(late)) == [
+        coldstart_checker.Drain(2.0, 2.7, "10.0.0.1:1")
+    ]
+    assert coldstart_checker.compute_figures(History(late))["missed_drains"] == 1
     gone = [commit(1.0, "ready"), commit(2.0, "gone", address=""), arrival(2.3)]
-    assert coldstart_checker.drains(History(gone)) == [coldstart_checker.Drain(2.0, 2.3, "10.0.0.1:1")]
+    assert coldstart_checker.find_history_drains(History(gone)) == [
+        coldstart_checker.Drain(2.0, 2.3, "10.0.0.1:1")
+    ]
 
 
 def test_full_reads_are_counted_per_start_and_overlapping_reads_per_connection():
@@ -241,18 +245,21 @@
             read(7.6, 8, caller="c2"),
         ]
     )
-    figures = coldstart_checker.figures(history, 1)
+    figures = coldstart_checker.compute_figures(history)
     assert figures["full_reads"] == 2 and figures["full_reads_most"] == 1 and figures["questions_on_top"] == 1
 
 
 def test_the_largest_number_of_events_within_a_window():
-    assert max_in_window([0.0, 0.5, 0.9, 1.0, 1.4, 3.0], 1.0) == 4
+    assert max_count_in_window([0.0, 0.5, 0.9, 1.0, 1.4, 3.0], 1.0) == 4
 
 
 def test_log_lines_in_plain_text_and_json_are_parsed():
     event = parse_event("n3 listens on 127.0.0.1:7001")
     assert event == {"event": "listening", "host": "127.0.0.1", "port": 7001}
     assert parse_event("registry: the list is not confirmed, on_stale is 'hold'")["confirmed"] is False
+    present = "registry: the list is confirmed at revision 7, after 1.250 s without confirmation"
+    assert parse_event(present) == {"event": "list", "confirmed": True}
+    assert parse_event("registry: confirmed at revision 7") == {"event": "list", "confirmed": True}
     assert parse_event('{"event": "list", "confirmed": true}')["confirmed"] is True
     assert parse_event("{broken")["event"] == "line"
 
