--- a/applevale/policy/__init__.py
+++ b/applevale/policy/__init__.py
@@ -1,6 +1,6 @@
-"""The decision module: which requests are admitted, when and on which engines they run (docs/design.md).
+"""The decision module, whose input and output types are in applevale/api.
 
-Its input and output types are in `applevale.api`.
+It decides which requests are admitted, when they run and on which engines (docs/design.md).
 """
 
 from .controller import AdmissionController
--- a/applevale/policy/admission.py
+++ b/applevale/policy/admission.py
@@ -33,7 +33,7 @@
         self._tenant_buckets = [rate_limits.TokenBucket(0.0, -inf) for _ in context.settings.tenants]
 
     def similarity_key(self, pending: PendingRequest) -> tuple[int, float, int]:
-        """Return what similar requests share: class, table group and magnitude of the memory."""
+        """Return the key of similar requests: class, table group and magnitude of the memory."""
         memory_magnitude = int(log(max(pending.memory_mb, 1.0), config.MEMORY_LOG_BASE))
         return (pending.request.class_index, pending.request.table_group, memory_magnitude)
 
@@ -71,12 +71,13 @@
             engine.memory_risk_quota.record(now, not pending.is_memory_risk)
 
     def value_factor(self, tenant: int) -> float:
-        """Count a request of a tenant; return the factor to its value, lower beyond the tenant's quota."""
+        """Count a request of a tenant; return the factor of its value, which is lower above the quota."""
         settings = self._context.settings
         is_known = 0 <= tenant < len(self._tenant_buckets)
         if not is_known or settings.tenants[tenant].quota_rps <= 0:
             return 1.0
-        own_rate = settings.tenants[tenant].quota_rps / settings.gateways  # may be below one request a second
+        # The rate may be below one request per second.
+        own_rate = settings.tenants[tenant].quota_rps / settings.gateways
         bucket = self._tenant_buckets[tenant]
         bucket.refill(self._context.now, own_rate, own_rate + config.TENANT_BURST_REQUESTS)
         return 1.0 if bucket.take() else settings.over_share_worth
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -9,7 +9,7 @@
 
 
 class AttemptManager:
-    """Owns the requests that have not ended; `may_attempt` and `can_run_on` hold all rules for attempts."""
+    """Owns the requests that have not ended; `may_attempt` and `can_run_on` check all rules for attempts."""
 
     def __init__(
         self, context: Context, outliers: OutlierDetector, admission: Admission, load: LoadEstimator
@@ -91,12 +91,12 @@
         engine.cold_budget.level -= pending.work
         context.zone_router.on_send(context.now, engine.entry.zone, pending.work)
         self._load.threads_in_flight += spec.threads
-        timeout = 0.0  # 0 means no limit but the client's timeout
+        timeout = 0.0  # 0 means that only the client's timeout applies
         if self._may_retry(pending) and not context.settings.may_cancel:
             max_run_time = config.ATTEMPT_TIMEOUT_FACTOR * self.overdue_after(attempt)
             timeout = min(max_run_time, pending.deadline - context.now)
         is_fleet_busy = self._load.thread_limits[0] < config.THREAD_LIMIT
-        # Peers should hear of a send to an engine that looks less loaded than most.
+        # Peers are told of a send to an engine that looks less loaded than most.
         announce = is_fleet_busy and self._load.engine_load(engine) < sum(self._load.fleet_load())
         context.actions.append(
             api.Send(pending.request.request_id, engine.entry.engine_id, timeout, announce)
@@ -225,7 +225,7 @@
         self._cancel_to_retry(attempt)
         is_blocking = pending.spec.is_ordered and self.key_queues.length(pending.request.order_key) > 1
         if is_blocking and now > pending.target_at:
-            self.reject_or_fail(pending)  # its answer may never come, and others of its key wait
+            self.reject_or_fail(pending)  # no answer may come, and other requests of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
         if is_silent and not self._outliers.probe(engine):
             self._outliers.eject(engine, "no answer")
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -123,7 +123,7 @@
         pending = PendingRequest(request, self.context, self.admission.value_factor(request.tenant_index))
         self.attempts.register(pending)
         self.outliers.add_probe_budget()
-        if request.is_order_unknown:  # its execution could break the order of its key
+        if request.is_order_unknown:  # executing it could violate the order of its key
             self.attempts.reject_or_fail(pending)
             return
         self.admission.assess_memory_risk(pending, self.scheduler.engines_by_preference(pending))
--- a/applevale/policy/load_estimation.py
+++ b/applevale/policy/load_estimation.py
@@ -1,4 +1,4 @@
-"""Estimates the load of engines from own attempts, load reports, and what peers say they have sent."""
+"""Estimates the load of engines from own attempts, load reports, and sends announced by peers."""
 
 from .. import api, estimators
 from . import config
@@ -25,7 +25,7 @@
         self._own_threads.add(self._context.now, self.threads_in_flight)
 
     def update_thread_limits(self) -> None:
-        """Set the limits by priority; low priorities get lower ones only as the fleet fills up."""
+        """Set the limits by priority; those of low priorities fall as the fleet's load rises."""
         relative_load = config.LIMIT_RAMP_SLOPE * sum(self.fleet_load()) / config.THREAD_LIMIT
         pressure = min(max(relative_load - config.LIMIT_RAMP_OFFSET, 0.0), 1.0)
         pressures = (pressure, pressure, pressure, 1.0)  # one per priority; the top one's limit is constant
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -38,12 +38,13 @@
         self.max_stall_margin = config.MAX_STALL_MARGIN_SHARE * (self.deadline - context.now)
         self.attempts: list[Attempt] = []
         self.in_flight = 0  # attempts without a result
-        self.is_finished = False  # it has its final answer, or its client is gone
-        self.is_streaming = False  # its client receives rows, so that no other attempt can answer it
-        self.is_answered = False  # its final answer has been delivered
-        self.is_memory_risk = False  # it may exhaust the memory of its engine
-        self.waits_for_memory = False  # it needs an engine with enough free memory
-        self.features: tuple[float, ...] = ()  # inputs of the memory pressure prediction; empty without one
+        self.is_finished = False  # whether it has its final answer, or its client is gone
+        self.is_streaming = False  # whether its client receives rows: no other attempt can answer it
+        self.is_answered = False  # whether its final answer has been delivered
+        self.is_memory_risk = False  # whether it may exhaust the memory of its engine
+        self.waits_for_memory = False  # whether it needs an engine with enough free memory
+        # Inputs of the prediction of memory pressure; empty if there was none.
+        self.features: tuple[float, ...] = ()
         announced_work = estimators.finite_or(request.estimated_work, 0.0)
         self.work = max(self.stats.work.expect(announced_work), config.MIN_WORK_SECONDS)
         announced_mb = estimators.finite_or(max(request.estimated_memory_mb, 0.0), 0.0)
@@ -55,7 +56,7 @@
         self.run_time = self.work / self.spec.threads  # expected run time on an idle engine
         self.target_at = context.now + self.spec.aim + self.spec.aim_stretch * self.run_time
         self.value = self.spec.worth * value_factor  # value of an answer by `target_at`
-        # The mean takes the usual work of the class, since one announced estimate can be far off.
+        # The usual work of the class is added to the mean, since one announced estimate can be far off.
         context.value_density.add(self.value, self.stats.work.mean.value)
         density = context.value_density.density(self.value, self.work)
         self.priority = sum(density >= least_density for least_density in config.PRIORITY_DENSITIES)
@@ -150,12 +151,12 @@
         self.health = circuit_breaker.CircuitBreaker(config.EJECTION_SECONDS, config.MAX_EJECTION_SECONDS)
         self.reported_at = -inf
         self.succeeded_at = -inf
-        self.probed_at = inf  # time of the probe in flight; infinite if there is none
+        self.probed_at = inf  # time at which the probe in flight was sent; infinite if there is none
         # Work (s) that the engine may get while it warms up.
         self.cold_budget = rate_limits.TokenBucket(-initial_debt, self.context.now)
 
     def runs_table_load(self, table_group: float) -> bool:
-        """Return whether an attempt of this instance on it loads the tables, which blocks their readers."""
+        """Return whether this instance runs a load of these tables on it, which blocks their readers."""
         requests = (attempt.pending for attempt in self.attempts.items)
         return any(pending.spec.load and pending.request.table_group == table_group for pending in requests)
 
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -48,7 +48,7 @@
         if result is api.Result.OK:
             engine.succeeded_at = now
             engine.health.record_success()
-        elif result is api.Result.REJECTED:  # caused by all instances together: not a failure of the engine
+        elif result is api.Result.REJECTED:  # caused by all instances, so not a failure of the engine
             engine.reported_at = now
             engine.peer_load.add(now, config.OVERFULL_LOAD)
         elif result is api.Result.CONNECT_FAILED:
@@ -58,7 +58,7 @@
             attempts = attempt.pending.attempts
             errors = [other for other in attempts if other.result is api.Result.ERROR]
             if result is api.Result.ERROR and errors[0].index < attempts[-1].index:
-                self._revoke_ejection(errors[0])  # two engines fail: the request is the cause
+                self._revoke_ejection(errors[0])  # if two engines return errors, the request is the cause
             elif should_eject:
                 self.eject(engine, result.value)
                 attempt.caused_ejection = True
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -16,7 +16,7 @@
     """The engine that a request is sent to, if there is one now."""
 
     engine: Engine | None = None
-    engine_expected: bool = False  # whether one may be found soon, such as by a probe in flight
+    engine_expected: bool = False  # whether an engine may be found soon, such as by a probe in flight
 
 
 class Candidate(NamedTuple):
@@ -147,7 +147,7 @@
         work_rate = router.available_rate(now, own_cores) * config.BUSY_SHARE
         slowdowns = [stats.run_time.slowdown.value for stats in self._context.classes]
         slowdowns = [min(max(slowdown, 1.0), config.MAX_QUEUE_SLOWDOWN) for slowdown in slowdowns]
-        # The least work that found no engine, by class, table group and priority.
+        # Work of the smallest request for which no engine was found, by class, table group and priority.
         smallest_unroutable: dict[tuple[int, float, int], float] = {}
         kept: list[PendingRequest] = []
         work_ahead = 0.0
@@ -180,11 +180,11 @@
         self.waiting = kept
 
     def _find_route_once(self, pending: PendingRequest, smallest_unroutable: dict) -> Route:
-        """Return a route; skip the search if a similar, smaller request found none in this pass."""
+        """Return a route; skip the search if it failed for a similar, smaller request in this pass."""
         is_comparable = not pending.attempts and not pending.waits_for_memory
         key = (pending.request.class_index, pending.request.table_group, pending.priority)
         if is_comparable and pending.work >= smallest_unroutable.get(key, inf):
-            return Route()  # during a pass, engines can only become fuller
+            return Route()  # during a pass, the loads of engines can only rise
         route = self.find_route(pending)
         if is_comparable and route == Route():
             smallest_unroutable[key] = pending.work
