--- a/applevale/api/__init__.py
+++ b/applevale/api/__init__.py
@@ -1,8 +1,8 @@
 """The interface of the decision module, `applevale.policy`. All times are in seconds.
 
-The decision module is used by one call: `AdmissionController(settings, seed).handle(now, events)` returns
-actions. This package has the types of that call and takes no decision itself: the settings of a deployment,
-events (what has happened), actions (what the caller must do), and the base of the zone routers.
+Its callers use one call: `AdmissionController(settings, seed).handle(now, events)` returns actions. This
+package has the types of that call and makes no decisions itself: the settings of a deployment, events (what
+has happened), actions (what the caller must do), and the base class of the zone routers.
 """
 
 from .actions import (
--- a/applevale/api/actions.py
+++ b/applevale/api/actions.py
@@ -11,8 +11,8 @@
 
     request_id: int
     engine_id: int
-    timeout: float = 0.0  # 0 means as long as the client waits
-    announce_to_peers: bool = False  # whether to tell peers, since the engine looks less loaded than most
+    timeout: float = 0.0  # 0 means that only the client's timeout applies
+    announce_to_peers: bool = False  # whether to tell peers; set if the engine looks less loaded than most
 
 
 @dataclass(frozen=True)
@@ -21,7 +21,7 @@
 
     request_id: int
     priority: int
-    memory_mb: float = 0.0  # 0 means that the engine chooses
+    memory_mb: float = 0.0  # 0 means that the engine chooses the amount
 
 
 @dataclass(frozen=True)
--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -50,13 +50,16 @@
     """The engine list, a change of it, or a failure to get it."""
 
     entries: tuple[EngineEntry, ...] = ()
-    is_full: bool = False  # whether the entries replace the old list, or are changed ones only
-    has_failed: bool = False  # whether a call failed or the subscription ended; then there are no entries
+    is_full: bool = False  # whether the entries replace the whole list; otherwise they are the changed ones
+    has_failed: bool = False  # whether a call failed or the subscription ended; if so, there are no entries
 
 
 @dataclass(frozen=True)
 class Request:
-    """A request of a client has come in."""
+    """A request of a client has been received.
+
+    The table group is the number at the end of a schema name: 17 for the table `sales_17.orders`.
+    """
 
     request_id: int
     class_index: int  # index of the class in the settings
@@ -65,7 +68,7 @@
     timeout: float = 0.0  # time until the client gives up
     estimated_work: float = 0.0  # time on one core; 0 means no estimate
     estimated_memory_mb: float = 0.0  # 0 means no estimate
-    table_group: float = 0.0  # number in the schema names of the tables that the request uses; 0 means none
+    table_group: float = 0.0  # number of the table group that the request uses; 0 means none
     is_client_retry: bool = False  # whether the client says that it sends the request again
     # Whether it may have arrived before a request with its order key that was submitted earlier.
     is_order_unknown: bool = False
@@ -110,9 +113,9 @@
 class AttemptUpdateKind(Enum):
     """The subject of an `AttemptUpdate`."""
 
-    PROGRESS = 1  # share of the work that is done
-    SPILLING = 2  # lack of memory, in MB, for which the attempt spills to disk
-    WAITING = 3  # cause of a wait: 1 for memory, 2 for a table load
+    PROGRESS = 1  # the value is the share of the work that is done
+    SPILLING = 2  # the attempt spills to disk; the value is the memory that it lacks, in MB
+    WAITING = 3  # the attempt waits; the value is the cause: 1 for memory, 2 for a table load
 
 
 @dataclass(frozen=True)
--- a/applevale/api/routing.py
+++ b/applevale/api/routing.py
@@ -1,4 +1,4 @@
-"""The base of the routers, which decide on the zones that may get a request and on their order."""
+"""The base class of routers, which decide which zones may get a request and in which order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Router:
-    """A router that treats all zones alike; `zones.zone_router.ZoneRouter` tells them apart.
+    """A router that treats all zones alike; `zones.zone_router.ZoneRouter` distinguishes them.
 
     `class_index` is an index into the classes of the settings. Work is in seconds on one core.
     """
@@ -22,7 +22,7 @@
         return True
 
     def is_saturated(self, now: float, class_index: int, work: float) -> bool:
-        """Return whether to reject work, since the home zone is impaired and no zone may take it."""
+        """Return whether to reject work: the home zone is impaired, and no zone may take the work."""
         return False
 
     def available_rate(self, now: float, cores: float) -> float:
--- a/applevale/api/settings.py
+++ b/applevale/api/settings.py
@@ -19,9 +19,9 @@
 class RepeatPolicy(Enum):
     """Whether a request of a class may be executed more than once."""
 
-    SAFE = "safe"  # yes: a repetition is harmless
-    KEYED = "keyed"  # yes: engines recognize repetitions by an idempotency key
-    UNSAFE = "unsafe"  # no
+    SAFE = "safe"  # it may; a repetition is harmless
+    KEYED = "keyed"  # it may; engines recognize repetitions by an idempotency key
+    UNSAFE = "unsafe"  # it must not
 
 
 @dataclass(frozen=True)
@@ -81,14 +81,14 @@
     tick: float = 0.005
     answer_slack: float = 0.02
     ask_within: float = 10.0  # time limit of a call for the engine list
-    drain_grace: float = 1.0  # time after which a draining engine must get nothing new
+    drain_grace: float = 1.0  # time from the start of a drain after which the engine must get no requests
     cold_share: float = 0.3  # share of its full capacity that an engine has at its start
     warm_up: float = 15.0  # time from the start of an engine to its full capacity
     fall: float = 1.5  # window in which the work for a cold engine is limited
     fall_multiple: float = 2.0  # limit of that work, as a multiple of the engine's present capacity
     order_pause: float = 0.0  # pause of an order key after an attempt that may still be in execution
-    order_gap: float = 0.0  # pause of an order key after a request, which also lasts until its `ResponseSent`
-    budget_share: float | None = None  # share of requests with a further attempt; None means no limit
+    order_gap: float = 0.0  # pause of an order key after a request; it also lasts until its `ResponseSent`
+    budget_share: float | None = None  # largest share of requests with a further attempt; None means no limit
     budget_free: float = 0.0  # further attempts that are allowed in addition to that share
     budget_span: float = 5.0  # window of both limits
     try_limit: int = 3  # attempts of one request
@@ -101,7 +101,7 @@
     may_message_peers: bool = False  # whether messages to other instances are allowed
     may_advise_retry_after: bool = False  # whether a rejection may advise a delay before a retry
     allows_parallel_attempts: bool = False  # whether two attempts of a request may be in flight at a time
-    over_share_worth: float = 1.0  # factor to the value of requests beyond their tenant's quota
+    over_share_worth: float = 1.0  # multiplies the value of requests beyond their tenant's quota
     report_columns: tuple[str, ...] = ()  # columns: active, waiting, cpu, memory_used, disk_busy, ...
     load_report_mode: str = "none"  # what carries load reports: "answers", "probe", or "none"
     engines_honor_memory: bool = False  # whether engines honor the memory in `SetResources`
@@ -109,7 +109,7 @@
     engines_report_cost: bool = False  # whether answers state the work and the memory that were used
     progress: float = 0.0  # time between progress reports of an attempt; 0 means that there are none
     largest_share: float = 1.0  # largest share of an engine's memory that one request can get
-    memory_shortage_mode: str = "wait"  # what engines do when they lack memory
+    memory_shortage_mode: str = "wait"  # what engines do when they have too little memory
 
     def __post_init__(self) -> None:
         """Check all values."""
