--- a/applevale/discovery/registry/synchronizer.py
+++ b/applevale/discovery/registry/synchronizer.py
@@ -39,7 +39,10 @@
         *,
         resumable: bool,
     ):
-        """Create a synchronizer of `watched_list`. The watcher and its other parts share all objects."""
+        """Create a synchronizer of `watched_list`.
+
+        The arguments are not copied: the other components of the registry watcher use the same objects.
+        """
         self.watched_list = watched_list
         self.sessions = sessions
         self.requests = requests
@@ -135,7 +138,10 @@
         return commands
 
     def _record_response(self, duration: float) -> None:
-        """Record a response to a short read, and forget earlier standby sessions if all are fast now."""
+        """Record the duration of a response to a short read.
+
+        If recent responses are fast, the limiter of standby sessions is reset.
+        """
         self.pacer.record_response(duration)
         if self.pacer.are_responses_fast:
             self.sessions.standby_limiter.reset()
