--- a/applevale/circuit_breaker.py
+++ b/applevale/circuit_breaker.py
@@ -6,7 +6,7 @@
 
 
 class CircuitBreaker:
-    """Opens for a time that doubles with each opening; a success resets that time.
+    """A circuit breaker whose open time doubles with each opening; a success resets that time.
 
     While it is open, the resource should not be used.
 
@@ -37,7 +37,7 @@
     def record_failure(self, is_conclusive: bool, max_failures: int) -> bool:
         """Record a failure; return whether the circuit breaker should be opened.
 
-        That is so after a conclusive failure, or after `max_failures` failures in a row.
+        It should be opened after a conclusive failure, or after `max_failures` consecutive failures.
         """
         self.consecutive_failures += 1
         return is_conclusive or self.consecutive_failures >= max_failures
@@ -49,7 +49,7 @@
         return is_first
 
     def record_success(self) -> None:
-        """End the probation and reset the backoff; an opening still lasts until its end."""
+        """End the probation and reset the backoff; an open circuit breaker stays open until its time ends."""
         self.on_probation = False
         self.consecutive_failures = 0
         self.backoff.reset()
--- a/applevale/containers.py
+++ b/applevale/containers.py
@@ -14,7 +14,7 @@
 
 
 class ExpiringKeys:
-    """A set of keys that expire; beyond `capacity` keys, the one that was added first is dropped."""
+    """A set of keys that expire; beyond `capacity` keys, the least recently added one is dropped."""
 
     def __init__(self, capacity: int):
         """Create an empty set."""
@@ -89,7 +89,7 @@
 
     Attributes:
         duration: Expected length of the turn.
-        needed_time: Time from the start of the turn to the deadline that the item should have at least.
+        needed_time: Minimum time from the start of the turn to the deadline; with less, the item is late.
         deadline: Time at which the item must have ended.
         running_for: Time since the start of the turn; None if the item waits.
     """
@@ -153,7 +153,7 @@
             self.blocks.add(key, blocker)
 
     def blocking_items(self, now: float, forecast: Callable[[Item], TurnForecast | None]) -> Iterator[Item]:
-        """Yield the items to drop, since they will be late and make an item behind them late.
+        """Yield the items to drop: those that will be late themselves and make an item behind them late.
 
         The caller may end an item before it takes the next one; an item can be yielded more than once. At the
         end, pauses that have passed are removed.
@@ -176,7 +176,7 @@
             turns: Expected turns of the queue, in order, each with its item.
         """
         late_items: list[Item] = []
-        late_duration = 0.0  # duration of the turns of late items, which `start` does not include
+        late_duration = 0.0  # duration of the turns of late items, not included in `start`
         for turn, item in turns:
             if turn.running_for is not None:
                 start += max(0.0, turn.duration - turn.running_for)
--- a/applevale/estimators.py
+++ b/applevale/estimators.py
@@ -17,12 +17,12 @@
 COVARIANCE_PRIOR = 0.8
 MIN_VARIANCE = 0.01
 
-MIN_FREE_RUN_TIME_SECONDS = 0.001  # shorter times are rounded up in ratios
+MIN_FREE_RUN_TIME_SECONDS = 0.001  # shorter times count as this in ratios
 MIN_MEAN_VALUE = 1e-9  # avoids a division by zero
 
 
 class RunningMean:
-    """The plain mean of the first `max_count` values, and an exponentially weighted mean from there on.
+    """The plain mean of the first `max_count` values, and an exponentially weighted mean after them.
 
     Attributes:
         value: The mean.
@@ -117,7 +117,7 @@
 
 
 class EstimateCorrection:
-    """Corrects announced quantities, which scatter and may be biased, by the quantities that were needed.
+    """Corrects announced quantities, which may be noisy and biased, by the quantities that were needed.
 
     It is an online linear regression of the logarithms. Where nothing was announced, it predicts the mean of
     the needed quantities.
@@ -190,7 +190,7 @@
         return free_run_time * min(max(self.slowdown.value, 1.0), self.max_slowdown)
 
     def spread(self, deviations: float) -> float:
-        """Return the ratio of a run time that is this many mean deviations too long to the expected one."""
+        """Return the ratio to the expected run time of one that is this many mean deviations longer."""
         return exp(deviations * self.scatter.value)
 
     def learn(self, expected: float, free_run_time: float, run_time: float) -> float:
@@ -207,7 +207,7 @@
 
 
 def finite_readings(names: Sequence[str], values: Sequence[float]) -> dict[str, float]:
-    """Return values by name, without negative, infinite and NaN values; nothing if the numbers differ."""
+    """Return values by name, without negative, infinite and NaN values; empty if the lengths differ."""
     if len(values) != len(names):
         return {}
     return {name: value for name, value in zip(names, values) if isfinite(value) and value >= 0}
@@ -256,7 +256,7 @@
 
 
 class RememberingClassifier:
-    """Predicts an outcome by a logistic model, except for kinds whose outcome it missed recently."""
+    """Predicts an outcome by a logistic model, except for kinds whose outcome was recently missed."""
 
     def __init__(self, model: LogisticModel, misses: ExpiringKeys, lifetime: float):
         """Create a classifier that remembers a missed outcome for `lifetime` seconds."""
@@ -265,7 +265,7 @@
         self.lifetime = lifetime
 
     def predict(self, now: float, kind: Hashable, features: Sequence[float]) -> float:
-        """Return the probability of the outcome; 1 if one of this kind was missed recently."""
+        """Return the probability of the outcome; 1 if an outcome of this kind was recently missed."""
         return 1.0 if self.misses.is_valid(kind, now) else self.model.predict(features)
 
     def learn(
--- a/applevale/rate_limits.py
+++ b/applevale/rate_limits.py
@@ -60,7 +60,7 @@
         return delay
 
     def reset(self) -> None:
-        """Return to the first delay."""
+        """Make the next delay the first one."""
         self.delay = self.initial
 
 
@@ -108,10 +108,10 @@
 
 
 class AdaptiveQuota:
-    """A quota that is set, at the start of each window, to the events of the last window plus a base.
+    """A quota that is reset in each window to the number of events in the last window plus a base.
 
     Attributes:
-        quota: What is left of the quota.
+        quota: Remaining quota.
         events: Number of events in this window.
         missed: Number of those events that were not predicted.
         next_refill: Time (s) at which the next window may start.
--- a/applevale/selection.py
+++ b/applevale/selection.py
@@ -9,15 +9,15 @@
 
 
 def better_of_two(random: Random, candidates: list[Key], class_size: int) -> Key:
-    """Return the lesser of two random candidates of the best class.
+    """Return the smaller of two random candidates of the best class.
 
-    The choice of two spreads many selectors with the same information, which would otherwise all select the
-    least candidate at once.
+    The random draw prevents many selectors with the same information from all selecting the smallest
+    candidate at once.
 
     Args:
-        random: Source of the draw.
-        candidates: Tuples; a lesser one is better.
-        class_size: Number of first values in which the candidates of one class agree.
+        random: Random generator of the draw.
+        candidates: Tuples; a smaller one is better.
+        class_size: Number of leading values that candidates of the same class have in common.
     """
     best_class = min(candidates)[:class_size]
     candidates = [candidate for candidate in candidates if candidate[:class_size] == best_class]
--- a/applevale/stalls.py
+++ b/applevale/stalls.py
@@ -6,7 +6,7 @@
 
 
 class StallDetector:
-    """Detects stalls of the process: times in which a timer that was due did not fire.
+    """Detects stalls of the process: periods in which a timer that was due did not fire.
 
     Attributes:
         due_at: Time (s) at which the timer is due; infinite if it is not set.
