--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -43,11 +43,12 @@
     assert run("registry", "dump", str(ROOT / "examples/config.json")).exit_code == 2
 
 
-def test_an_unknown_rig_is_an_error():
+def test_the_rig_command_rejects_an_unknown_name():
+    """The command `applevale rig` runs the real program with fakes and injects faults."""
     assert run("rig", "nothing").exit_code == 2
 
 
-def test_a_short_run_of_rig_registry_succeeds():
+def test_a_short_run_of_the_rig_command_with_the_fake_registry_succeeds():
     completed = subprocess.run(
         [
             sys.executable,
