--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -120,10 +120,10 @@
         """Start to handle a request; return its task and context when an attempt has reached the engine."""
         task = self.handle(class_index)
         await wait_until(lambda: self.handler.active)
-        (request,) = self.handler.active
-        request.inbox.put_nowait(api.Send(request.number, 1))
+        (request_context,) = self.handler.active
+        request_context.inbox.put_nowait(api.Send(request_context.number, 1))
         await wait_until(self.engine.request_ids)
-        return task, request
+        return task, request_context
 
 
 async def wait_until(condition):
@@ -174,11 +174,17 @@
 def test_an_attempt_that_ends_in_the_same_iteration_determines_the_final_response(
     class_index, result, response, signal, attempt_ends_first
 ):
-    """In the order of the inbox, a request that may have run would be rejected and a result lost."""
+    """The result of the attempt takes precedence over the signal, even if the signal is first in the inbox.
+
+    Otherwise a request that may have been executed could be rejected, or its result could be lost.
+    """
 
     async def steps(setup):
-        task, request = await setup.handle_with_attempt(class_index)
-        racing_events = [lambda: request.inbox.put_nowait(signal()), lambda: request.in_flight.finish(result)]
+        task, request_context = await setup.handle_with_attempt(class_index)
+        racing_events = [
+            lambda: request_context.inbox.put_nowait(signal()),
+            lambda: request_context.in_flight.finish(result),
+        ]
         for event in reversed(racing_events) if attempt_ends_first else racing_events:
             event()
         return await task
@@ -189,9 +195,9 @@
 @pytest.mark.parametrize("decision", [api.Reject(1), api.Fail(1)])
 def test_a_success_right_after_a_decision_is_still_the_response(decision):
     async def steps(setup):
-        task, request = await setup.handle_with_attempt(0)
-        request.inbox.put_nowait(decision)
-        request.in_flight.finish(AttemptSucceeded(b"r"))
+        task, request_context = await setup.handle_with_attempt(0)
+        request_context.inbox.put_nowait(decision)
+        request_context.in_flight.finish(AttemptSucceeded(b"r"))
         return await task
 
     assert run_steps(steps) == model.Completed(b"r")
@@ -204,14 +210,14 @@
     async def steps(setup):
         loop = asyncio.get_running_loop()
         if connects:
-            task, request = await setup.handle_with_attempt(1)
+            task, request_context = await setup.handle_with_attempt(1)
         else:
             loop.may_connect.clear()
             task = setup.handle(1)
             await wait_until(lambda: setup.handler.active)
-            (request,) = setup.handler.active
-            request.inbox.put_nowait(api.Send(request.number, 1))
-            await wait_until(lambda: request.in_flight)
+            (request_context,) = setup.handler.active
+            request_context.inbox.put_nowait(api.Send(request_context.number, 1))
+            await wait_until(lambda: request_context.in_flight)
         setup.handler.respond_to_all()
         actual = await task
         loop.may_connect.set()
@@ -269,14 +275,14 @@
 
 def test_a_retry_is_not_sent_after_the_repeat_window():
     async def steps(setup):
-        task, request = await setup.handle_with_attempt(2)
-        request.in_flight.finish(RESET)
+        task, request_context = await setup.handle_with_attempt(2)
+        request_context.in_flight.finish(RESET)
         asyncio.get_running_loop().may_connect.clear()
-        request.inbox.put_nowait(api.Send(request.number, 1))
-        await wait_until(lambda: request.in_flight)
+        request_context.inbox.put_nowait(api.Send(request_context.number, 1))
+        await wait_until(lambda: request_context.in_flight)
         await asyncio.sleep(KEYED.repeat_window)
         asyncio.get_running_loop().may_connect.set()
-        await wait_until(lambda: not request.in_flight)
+        await wait_until(lambda: not request_context.in_flight)
         task.cancel()
         return len(setup.engine.request_ids())
 
@@ -284,7 +290,11 @@
 
 
 def test_a_drain_withdraws_commands_that_wait_for_a_full_socket_buffer():
-    """They could reach the engine up to 1 s later, but the usual grace period of a drain is 0.5 s."""
+    """Commands must not reach an engine after the grace period of its drain.
+
+    Commands behind a full socket buffer could reach it up to 1 s after the start of the drain. The default
+    grace period is 0.5 s, and this test sets 0.2 s.
+    """
 
     async def steps(setup):
         setup.engine.may_read.clear()
@@ -329,14 +339,14 @@
     async def steps(setup):
         task = setup.handle(0, lambda: True)
         await wait_until(lambda: setup.handler.active)
-        (request,) = setup.handler.active
-        request.inbox.put_nowait(api.Send(request.number, 1))
-        await wait_until(request.inbox.empty)
+        (request_context,) = setup.handler.active
+        request_context.inbox.put_nowait(api.Send(request_context.number, 1))
+        await wait_until(request_context.inbox.empty)
         submitted = setup.driver.event_queue.events + [
             event for batch in setup.driver.controller.batches for event in batch
         ]
         task.cancel()
-        return request.in_flight, [
+        return request_context.in_flight, [
             event.result for event in submitted if isinstance(event, api.AttemptOutcome)
         ]
 
