--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -133,7 +133,7 @@
     client.send_bytes(data)
     client.send_probe(21)
     assert client.read_response().number == 21
-    first_request_id = f"{1:016x}"  # can be used again
+    first_request_id = f"{1:016x}"  # the id of a cancelled request can be used again
     client.send_request(22, "lookup", first_request_id, "select * from air_1.x limit 1")
     assert client.read_response().error is None
     assert instance.stop()["clients_gone"] == 20
@@ -192,7 +192,7 @@
 
 
 def wait_for_reload_message(process):
-    """Return the text of the next log line about a reload; only lateness lines may precede it."""
+    """Return the text of the next log line about a reload; reports of a late event loop are skipped."""
     return process.wait_for_log_line(r"^reload: (.*)", skipped=LATENESS_LINE)[1]
 
 
@@ -231,7 +231,7 @@
     os.mkfifo(config_path)
     process = ProgramProcess(config_path)
     try:
-        with open(config_path, "w") as first_config:  # returns when the process has opened the pipe
+        with open(config_path, "w") as first_config:  # open() returns when the process has opened the pipe
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGUSR1)
             second_path = tmp_path / "second.json"
