--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -85,7 +85,7 @@
     assert max(map(len, LINES)) <= 110
 
 
-def test_the_docstring_of_the_policy_names_the_package_of_its_types():
+def test_the_first_docstring_line_of_the_policy_names_the_package_of_its_input_and_output_types():
     package = next(file for file in FILES if file.name == "__init__.py")
     assert "applevale/api" in package.read_text().splitlines()[0]
 
