--- a/applevale/api/events.py
+++ b/applevale/api/events.py
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True)
 class TimerFired:
-    """A timer that was set has fired."""
+    """A timer set by `SetTimer` has fired."""
 
     token: int
 
--- a/applevale/policy/admission.py
+++ b/applevale/policy/admission.py
@@ -38,7 +38,7 @@
         return (pending.request.class_index, pending.request.table_group, memory_magnitude)
 
     def assess_memory_risk(self, pending: PendingRequest, engines: list[Engine]) -> None:
-        """Mark a request that may exhaust the memory of the first available one of `engines`."""
+        """Mark a request that may exhaust the memory of the first available engine in `engines`."""
         now = self._context.now
         engine = next(filter(Engine.is_available, engines), None)
         pressure_age = now - self._context.memory_pressure_at
--- a/applevale/policy/attempts.py
+++ b/applevale/policy/attempts.py
@@ -181,7 +181,7 @@
         """Let the next request of an order key start once this answer is delivered."""
         self.key_queues.pause(event.order_key, self._context.now + event.delivery_seconds)
         self._delivery_time = event.delivery_seconds
-        if pending := self.pending.get(event.request_id):  # one of its attempts is in flight
+        if pending := self.pending.get(event.request_id):  # an attempt is still in flight
             pending.is_answered = True
         else:
             self.key_queues.blocks.discard(event.order_key, event.request_id)
@@ -225,7 +225,7 @@
         self._cancel_to_retry(attempt)
         is_blocking = pending.spec.is_ordered and self.key_queues.length(pending.request.order_key) > 1
         if is_blocking and now > pending.target_at:
-            self.reject_or_fail(pending)  # no answer may come, and other requests of its key wait
+            self.reject_or_fail(pending)  # it may get no answer, and other requests of its key wait
         is_silent = engine and max(engine.succeeded_at, engine.reported_at) <= attempt.sent_at
         if is_silent and not self._outliers.probe(engine):
             self._outliers.eject(engine, "no answer")
--- a/applevale/policy/config.py
+++ b/applevale/policy/config.py
@@ -34,7 +34,7 @@
 TARGET_TO_RUN_TIME_RATIO = 3  # ratio of target latency to mean run time, in a class without completed runs
 ANNOUNCED_MEMORY_MARGIN = 1.25  # ratio of granted to announced memory, if engines choose the amount
 EXPECTED_MEMORY_MARGIN = 1.5  # ratio of granted to expected memory, in all other cases
-MIN_CORES = 0.1  # least number of cores of an engine whose kind states none
+MIN_CORES = 0.1  # smallest number of cores of an engine whose kind states none
 
 # Load reports, the loads estimated from them, and limits on the loads of engines.
 REPORT_DECAY_SECONDS = 3.0  # time constant of reported loads; as long as a few of the longest queries
@@ -55,7 +55,7 @@
 PRIORITY_LOAD_FACTORS = (0.7, 0.85, 1.0, 1.6)  # limits by priority / THREAD_LIMIT, if the fleet is full
 PRIORITY_DENSITIES = (0.2, 0.65, 2.0)  # smallest value per work, relative to the mean, of priorities 1 to 3
 TOP_PRIORITY = 3
-MIN_TABLE_LOAD_PRIORITY = 2  # least priority of table loads on engines; a slow one delays all readers
+MIN_TABLE_LOAD_PRIORITY = 2  # smallest priority of table loads on engines; a slow one delays all readers
 LIMIT_TOLERANCE = 1.01  # an engine that is idle except for rounding errors may take any request
 
 # The limits of low priorities fall while the fleet's load rises from 1/2 to 5/6 of THREAD_LIMIT: they are
@@ -84,7 +84,7 @@
 
 # Probes and ejection of engines.
 PROBES_PER_REQUEST = 1.3  # largest number of probes that each request adds to the budget
-MAX_PROBE_BUDGET = 4.0  # number of probes
+MAX_PROBE_BUDGET = 4.0  # largest number of probes that can be accumulated
 PROBE_COST_SHARE = 0.0143  # largest share of a request's value that its probes may cost
 PROBE_COST_SHARE_NO_REPORTS = 0.035  # largest share where only probes report load
 MIN_PROBE_COST = 1e-9  # avoids a division by zero
@@ -93,7 +93,7 @@
 MAX_CONSECUTIVE_RESETS = 3  # an engine is ejected after this number of consecutive resets
 EJECTION_SECONDS = 1.0  # duration of the first ejection; each further one takes twice as long
 MAX_EJECTION_SECONDS = 8.0
-MAX_EJECTED_SHARE = 0.4  # share of the ready engines
+MAX_EJECTED_SHARE = 0.4  # largest share of the ready engines that may be ejected
 
 # Attempts and final answers.
 MAX_ENGINE_ERRORS = 2  # a request ends when this number of engines has returned errors
--- a/applevale/policy/controller.py
+++ b/applevale/policy/controller.py
@@ -13,7 +13,7 @@
     """Decides on all requests of one instance, without access to sockets or clocks."""
 
     def __init__(self, settings: api.Settings, seed: int = 0, router: api.Router | None = None):
-        """Create a controller that knows no engine; without a router, zones make no difference."""
+        """Create a controller that knows no engine; without a router, all zones are treated alike."""
         self.context = Context(settings, seed, router or api.Router())
         self.engines = self.context.engines
         self.load = load_estimation.LoadEstimator(self.context)
@@ -139,7 +139,8 @@
             return
         engine.probed_at = inf
         self.context.zone_router.on_result(self.context.now, engine.entry, event.result)
-        if event.result in (api.Result.OK, api.Result.REJECTED):  # rejected: too many probes, not a failure
+        # An engine rejects a probe if it gets too many, which is no failure.
+        if event.result in (api.Result.OK, api.Result.REJECTED):
             self.load.apply_report(engine, event.load_report)
         elif self.outliers.record_failure(engine, event.result):
             self.outliers.eject(engine, f"probe: {event.result.value}")
--- a/applevale/policy/model.py
+++ b/applevale/policy/model.py
@@ -27,10 +27,10 @@
 
 
 class PendingRequest:
-    """A request that has come in and has not ended."""
+    """A request that was received and has not ended."""
 
     def __init__(self, request: api.Request, context: Context, value_factor: float):
-        """Create a request that comes in now; `value_factor` is lower beyond its tenant's quota."""
+        """Create a request that is received now; `value_factor` is lower beyond its tenant's quota."""
         self.request = request
         self.stats = context.classes[request.class_index]
         self.spec = self.stats.spec
--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -33,7 +33,7 @@
         return context.settings.may_probe and is_wanted and is_affordable and is_report_old
 
     def probe(self, engine: Engine) -> bool:
-        """Probe an engine unless a probe is in flight; return whether an answer may still come in time."""
+        """Probe an engine unless a probe is in flight; return whether its answer can still arrive in time."""
         now = self._context.now
         is_in_flight = engine.probed_at <= now <= engine.probed_at + config.PROBE_LOST_SECONDS
         if not is_in_flight and self._context.settings.may_probe:
--- a/applevale/policy/scheduling.py
+++ b/applevale/policy/scheduling.py
@@ -16,7 +16,7 @@
     """The engine that a request is sent to, if there is one now."""
 
     engine: Engine | None = None
-    engine_expected: bool = False  # whether an engine may be found soon, such as by a probe in flight
+    engine_expected: bool = False  # whether an engine may be found soon, for example if a probe is in flight
 
 
 class Candidate(NamedTuple):
