--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -354,7 +354,7 @@
 
 
 def test_after_a_stall_sockets_are_read_before_a_batch_decides():
-    """Otherwise the batch could send requests for clients whose hang-up is unread."""
+    """A batch that decides first could send requests for clients whose hang-up is unread."""
 
     async def steps(setup):
         server_socket, client_socket = socket.socketpair()
