--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -169,7 +169,7 @@
 
 @dataclass(frozen=True)
 class Subscription:
-    """A connection of the program to a control feed, and the number of the first change that it asked for."""
+    """A connection of the program to a control feed, and the number of the first requested change."""
 
     first_change: int
     connection: socket.socket
