--- a/tests/test_policy_retry.py
+++ b/tests/test_policy_retry.py
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("group, answer", [("all", api.Reject), ("cell", api.Fail)])
 def test_a_request_is_answered_when_its_repeat_window_ends(group, answer):
-    """It must not wait until its deadline, since it cannot have another attempt."""
+    """Without another attempt, there is no reason to wait until the deadline of the request."""
     keyed = api.ClassSpec(
         "post", aim=3.0, deadline=20.0, repeat=api.RepeatPolicy.KEYED, repeat_group=group, repeat_window=0.5
     )
