--- a/applevale/policy/outlier.py
+++ b/applevale/policy/outlier.py
@@ -33,7 +33,7 @@
         return context.settings.may_probe and is_wanted and is_affordable and is_report_old
 
     def probe(self, engine: Engine) -> bool:
-        """Probe an engine unless a probe is in flight; return whether an answer may still come in time."""
+        """Probe an engine unless a probe is in flight; return whether its answer can still arrive in time."""
         now = self._context.now
         is_in_flight = engine.probed_at <= now <= engine.probed_at + config.PROBE_LOST_SECONDS
         if not is_in_flight and self._context.settings.may_probe:
@@ -48,7 +48,7 @@
         if result is api.Result.OK:
             engine.succeeded_at = now
             engine.health.record_success()
-        elif result is api.Result.REJECTED:  # caused by all instances together: not a failure of the engine
+        elif result is api.Result.REJECTED:  # caused by all instances, so not a failure of the engine
             engine.reported_at = now
             engine.peer_load.add(now, config.OVERFULL_LOAD)
         elif result is api.Result.CONNECT_FAILED:
@@ -58,7 +58,7 @@
             attempts = attempt.pending.attempts
             errors = [other for other in attempts if other.result is api.Result.ERROR]
             if result is api.Result.ERROR and errors[0].index < attempts[-1].index:
-                self._revoke_ejection(errors[0])  # two engines fail: the request is the cause
+                self._revoke_ejection(errors[0])  # if two engines return errors, the request is the cause
             elif should_eject:
                 self.eject(engine, result.value)
                 attempt.caused_ejection = True
